--- a/cmake/gateway.cmake
+++ b/cmake/gateway.cmake
@@ -19,8 +19,8 @@
     src/gateway_task.cpp
     src/header_text.cpp
     src/http_parser.cpp
-    src/load_board.cpp
-    src/model_ladder.cpp
+    src/load_aggregator.cpp
+    src/model_cascade.cpp
     src/relay_choice.cpp
     src/replica_registry.cpp
     src/replica_table.cpp
--- a/src/acceptance.cpp
+++ b/src/acceptance.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-void acceptance::note(const config_document &document)
+void acceptance::recordConfiguration(const config_document &document)
 {
     if (document.generation == 0 || document.generation < m_accepted || m_known.contains(document.generation))
         return;
@@ -68,7 +68,7 @@
     return effect;
 }
 
-void acceptance::observe(const host_status &status, instant now)
+void acceptance::recordStatus(const host_status &status, instant now)
 {
     // Only acknowledgements of one status are counted together; see m_held.
     m_held.clear();
--- a/src/acceptance_p.h
+++ b/src/acceptance_p.h
@@ -25,10 +25,10 @@
 {
 public:
     /// Takes a configuration that was read or written.
-    void note(const config_document &document);
+    void recordConfiguration(const config_document &document);
 
     /// Takes the answer of a router, received at `now`.
-    void observe(const host_status &status, instant now);
+    void recordStatus(const host_status &status, instant now);
 
     /// Ends waiting periods.
     /// @returns whether a generation became accepted.
--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -32,7 +32,7 @@
 {
 }
 
-std::chrono::milliseconds admission::spread(std::chrono::milliseconds estimate)
+std::chrono::milliseconds admission::addJitter(std::chrono::milliseconds estimate)
 {
     const auto most = std::max<std::int64_t>(estimate.count() / 2, 10);
     return estimate + std::chrono::milliseconds{std::uniform_int_distribution<std::int64_t>(0, most)(m_random)};
@@ -49,7 +49,7 @@
     return wait + std::chrono::milliseconds{std::uniform_int_distribution<std::int64_t>(1, 100)(m_random)};
 }
 
-admission_verdict admission::admit(const fleet &config, account_handle account, instant now)
+admission_decision admission::admit(const fleet &config, account_handle account, instant now)
 {
     const auto &limits = config[account];
     auto &state = m_accounts[limits.name];
@@ -61,7 +61,7 @@
     state.tokens = state.tokens < 0 ? burst : std::min(burst, state.tokens + elapsed * rate);
     state.refilledAt = now;
     if (state.inFlight >= std::max(1.0, limits.concurrency * share))
-        return {reason_code::rate_limited, spread(kBusyRetry)};
+        return {reason_code::rate_limited, addJitter(kBusyRetry)};
     if (state.tokens < 1)
         return {reason_code::rate_limited, promise(state, (1 - state.tokens) / rate, rate, now)};
     state.tokens -= 1;
@@ -139,12 +139,12 @@
     return requests;
 }
 
-void admission::noteStart(std::string_view pool, request_class priority)
+void admission::recordStart(std::string_view pool, request_class priority)
 {
     ++m_pools[std::string(pool)][static_cast<std::size_t>(priority)].inFlight;
 }
 
-void admission::noteEnd(std::string_view pool, request_class priority, std::chrono::milliseconds serviceTime)
+void admission::recordEnd(std::string_view pool, request_class priority, std::chrono::milliseconds serviceTime)
 {
     auto &state = m_pools[std::string(pool)][static_cast<std::size_t>(priority)];
     if (state.inFlight > 0)
@@ -153,8 +153,8 @@
     state.serviceMs = state.serviceMs > 0 ? state.serviceMs + kServiceWeight * (newest - state.serviceMs) : newest;
 }
 
-std::chrono::milliseconds admission::startEstimate(std::string_view account, request_class priority,
-                                                   std::string_view pool) const
+std::chrono::milliseconds admission::estimateQueueWait(std::string_view account, request_class priority,
+                                                       std::string_view pool) const
 {
     const auto found = m_pools.find(pool);
     if (found == m_pools.end())
@@ -175,12 +175,12 @@
     return std::chrono::milliseconds{static_cast<std::int64_t>(wait)};
 }
 
-void admission::noteFirstAttempt()
+void admission::recordFirstAttempt()
 {
     m_unspentAttempts = std::min(kUnspentAttemptsMost, m_unspentAttempts + 1);
 }
 
-bool admission::takeRetry(const tuning &tune)
+bool admission::tryConsumeRetry(const tuning &tune)
 {
     if (tune.retryBudgetPercent == 0)
         return false;
--- a/src/admission_p.h
+++ b/src/admission_p.h
@@ -15,7 +15,7 @@
 {
 
 /// Answer of the admission check.
-struct admission_verdict {
+struct admission_decision {
     reason_code reason = reason_code::none; ///< none: admitted
     std::chrono::milliseconds retryAfter{};
 };
@@ -38,7 +38,7 @@
     explicit admission(std::uint64_t seed = 1);
 
     /// Checks the account's rate and concurrency limits and takes one unit of each where both allow it.
-    [[nodiscard]] admission_verdict admit(const fleet &config, account_handle account, instant now);
+    [[nodiscard]] admission_decision admit(const fleet &config, account_handle account, instant now);
 
     /// Gives the concurrency unit of an admitted request back.
     void release(std::string_view account);
@@ -62,25 +62,25 @@
     [[nodiscard]] std::vector<request_token> order(std::size_t limit = SIZE_MAX) const;
 
     /// Counts an attempt that takes a slot of a pool.
-    void noteStart(std::string_view pool, request_class priority);
+    void recordStart(std::string_view pool, request_class priority);
 
     /// Counts an attempt that gives its slot back.
     /// @param serviceTime from start to end.
-    void noteEnd(std::string_view pool, request_class priority, std::chrono::milliseconds serviceTime);
+    void recordEnd(std::string_view pool, request_class priority, std::chrono::milliseconds serviceTime);
 
     /// @returns how long a request that arrived now would wait in the queue: the requests ahead of it over the rate at
     /// which this host starts requests of its class. 0 where nothing is known of the pool or nothing waits.
-    [[nodiscard]] std::chrono::milliseconds startEstimate(std::string_view account, request_class priority,
-                                                          std::string_view pool) const;
+    [[nodiscard]] std::chrono::milliseconds estimateQueueWait(std::string_view account, request_class priority,
+                                                              std::string_view pool) const;
 
     /// @returns an estimate with up to half of it added at random, so that refused callers do not return together.
-    [[nodiscard]] std::chrono::milliseconds spread(std::chrono::milliseconds estimate);
+    [[nodiscard]] std::chrono::milliseconds addJitter(std::chrono::milliseconds estimate);
 
     /// Counts a first attempt.
-    void noteFirstAttempt();
+    void recordFirstAttempt();
 
     /// @returns whether the retry budget allows a retry now; takes one unit where it does.
-    [[nodiscard]] bool takeRetry(const tuning &tune);
+    [[nodiscard]] bool tryConsumeRetry(const tuning &tune);
 
 private:
     static constexpr std::size_t kClasses = static_cast<std::size_t>(request_class::count);
--- a/src/attempt_rules.cpp
+++ b/src/attempt_rules.cpp
@@ -7,20 +7,20 @@
 namespace
 {
 
-bool canTryAgain(const attempt_facts &facts)
+bool canTryAgain(const attempt_outcome &facts)
 {
-    const bool isAllowed = facts.mayRepeat || !facts.mayHaveRun;
-    return isAllowed && facts.sends < facts.maxSends && facts.left >= kLeastTimeForRepeat;
+    const bool isAllowed = facts.mayRetry || !facts.mayHaveRun;
+    return isAllowed && facts.sends < facts.maxSends && facts.left >= kMinRetryTime;
 }
 
 } // namespace
 
-next_step stepAfter(const attempt_facts &facts)
+next_step nextStepAfter(const attempt_outcome &facts)
 {
     if (facts.result == attempt_result::answered)
         return next_step::pass_on;
     if (canTryAgain(facts))
-        return next_step::try_again;
+        return next_step::retry;
     if (facts.hasCallerBytes)
         return next_step::cut_off;
     if (facts.result == attempt_result::server_error)
--- a/src/attempt_rules_p.h
+++ b/src/attempt_rules_p.h
@@ -32,9 +32,9 @@
         || result == attempt_result::not_connected;
 }
 
-struct attempt_facts {
+struct attempt_outcome {
     attempt_result result = attempt_result::broken;
-    bool mayRepeat = false; ///< the kind of request may run more than once
+    bool mayRetry = false; ///< the kind of request may run more than once
     bool mayHaveRun = false; ///< this attempt or one before may have run
     bool hasCallerBytes = false; ///< part of the answer has gone to the caller
     std::uint32_t sends = 0; ///< replicas to which it was sent
@@ -44,7 +44,7 @@
 
 enum class next_step : std::uint8_t {
     pass_on, ///< give the caller the replica's answer
-    try_again, ///< if the retry budget allows it; otherwise ask again with `sends` at its maximum
+    retry, ///< if the retry budget allows it; otherwise ask again with `sends` at its maximum
     refuse, ///< 503: it has not run and never will
     fail, ///< 502: it may have run
     cut_off, ///< break off the answer that has begun
@@ -57,8 +57,8 @@
 };
 
 /// A repeat that could not end in this time isn't sent: about the fastest plain answer and one round trip.
-inline constexpr std::chrono::milliseconds kLeastTimeForRepeat{20};
+inline constexpr std::chrono::milliseconds kMinRetryTime{20};
 
-[[nodiscard]] next_step stepAfter(const attempt_facts &facts);
+[[nodiscard]] next_step nextStepAfter(const attempt_outcome &facts);
 
 } // namespace foxtaildyke
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -140,7 +140,7 @@
 {
     const auto before = m_acceptance.accepted();
     if (m_statusIsNew && m_status)
-        m_acceptance.observe(*m_status, m_now);
+        m_acceptance.recordStatus(*m_status, m_now);
     m_statusIsNew = false;
     m_acceptance.tick(m_now);
     if (m_acceptance.accepted() != before)
@@ -168,7 +168,7 @@
     }
     m_document = document;
     m_fleet = std::move(built.value());
-    m_acceptance.note(document);
+    m_acceptance.recordConfiguration(document);
 }
 
 void controller::actAsHolder()
--- a/src/evidence.cpp
+++ b/src/evidence.cpp
@@ -83,14 +83,14 @@
     return found == m_counts.end() ? nullptr : &found->second;
 }
 
-void evidence_table::noteDispatch(std::string_view version)
+void evidence_table::recordDispatch(std::string_view version)
 {
     auto &entry = m_counts[std::string(version)];
     ++entry.local.dispatched;
     ++entry.pending.dispatched;
 }
 
-void evidence_table::noteResult(std::string_view version, std::optional<bool> passed, std::string_view stratum)
+void evidence_table::recordResult(std::string_view version, std::optional<bool> passed, std::string_view stratum)
 {
     auto &attempts = m_counts[std::string(version)];
     ++attempts.local.settled;
--- a/src/evidence_p.h
+++ b/src/evidence_p.h
@@ -29,12 +29,12 @@
     explicit evidence_table(std::string hostName = {});
 
     /// Counts an attempt that goes out.
-    void noteDispatch(std::string_view version);
+    void recordDispatch(std::string_view version);
 
     /// Counts a settled attempt.
     /// @param passed nothing: it will not be rated.
     /// @param stratum population of requests within which failure rates can be compared.
-    void noteResult(std::string_view version, std::optional<bool> passed, std::string_view stratum = {});
+    void recordResult(std::string_view version, std::optional<bool> passed, std::string_view stratum = {});
 
     /// Replaces the counts of the other hosts by the totals of the relay.
     /// @param totals sums since the version's first answer; a sum that shrinks (relay restarted) is a new start.
--- a/src/freshness.cpp
+++ b/src/freshness.cpp
@@ -34,41 +34,42 @@
     m_generation = generation;
     m_registered = std::move(registeredHosts);
     m_lease = lease;
-    noteExists(generation);
+    recordGeneration(generation);
     endRecoveryOnQuorum();
     return true;
 }
 
-void freshness::noteExists(generation_number generation)
+void freshness::recordGeneration(generation_number generation)
 {
     m_highestKnown = std::max(m_highestKnown, generation);
 }
 
 void freshness::stamp(const freshness_stamp &stamp)
 {
-    noteExists(stamp.generation);
+    recordGeneration(stamp.generation);
     const bool isNewer = stamp.generation > m_stamp.generation
         || (stamp.generation == m_stamp.generation && stamp.currentAt > m_stamp.currentAt);
     if (isNewer)
         m_stamp = stamp;
 }
 
-void freshness::storeRead(generation_number generation, instant readStarted)
+void freshness::recordStoreRead(generation_number generation, instant readStarted)
 {
     stamp({generation, readStarted});
     if (m_generation >= generation)
         m_recovering = false;
 }
 
-instant freshness::recoverAskTime() const
+instant freshness::earliestRecoverCall() const
 {
     return m_startedAt + m_lease + m_lease / kMarginDivisor;
 }
 
-bool freshness::recoverAnswer(const std::string &host, bool isRecovering, generation_number generation, instant askedAt)
+bool freshness::recordRecoverResponse(const std::string &host, bool isRecovering, generation_number generation,
+                                      instant askedAt)
 {
-    noteExists(generation);
-    if (askedAt < recoverAskTime() || isRecovering || generation == 0 || host == m_host)
+    recordGeneration(generation);
+    if (askedAt < earliestRecoverCall() || isRecovering || generation == 0 || host == m_host)
         return !m_recovering;
     m_recoverAnswers.insert(host);
     endRecoveryOnQuorum();
@@ -97,14 +98,14 @@
     const auto last = m_registered.size() / 2;
     auto times = vouchedAt;
     std::ranges::nth_element(times, times.begin() + static_cast<std::ptrdiff_t>(last), std::greater{});
-    if (times.empty() || times[last] == kNoVouch)
+    if (times.empty() || times[last] == kNotAcknowledged)
         return std::nullopt;
     return freshness_stamp{m_generation, times[last]};
 }
 
-bool freshness::isAcknowledged(instant vouchedAt, instant now) const
+bool freshness::isAcknowledgementValid(instant vouchedAt, instant now) const
 {
-    return vouchedAt != kNoVouch && now - vouchedAt < m_lease;
+    return vouchedAt != kNotAcknowledged && now - vouchedAt < m_lease;
 }
 
 instant freshness::leaseEnd() const
@@ -114,10 +115,10 @@
 
 bool freshness::mayDispatch(instant now) const
 {
-    return mayVouch() && now < leaseEnd();
+    return mayAcknowledge() && now < leaseEnd();
 }
 
-bool freshness::mayVouch() const
+bool freshness::mayAcknowledge() const
 {
     return !m_recovering && holdsHighest() && isRegistered();
 }
--- a/src/freshness_p.h
+++ b/src/freshness_p.h
@@ -17,7 +17,7 @@
 };
 
 /// Stands for "no vouch" in a table of vouch times.
-inline constexpr instant kNoVouch = instant::min();
+inline constexpr instant kNotAcknowledged = instant::min();
 
 class freshness
 {
@@ -32,32 +32,35 @@
 
     /// Notes that a generation exists, also when its configuration is not here yet. Until it is adopted, this host
     /// neither vouches nor dispatches.
-    void noteExists(generation_number generation);
+    void recordGeneration(generation_number generation);
 
     /// Takes a stamp from the parent, the store or a quorum; one that is not newer than the last is ignored.
     void stamp(const freshness_stamp &stamp);
 
     /// A read of the store that showed this generation began at `readStarted`. Ends the recovering state.
-    void storeRead(generation_number generation, instant readStarted);
+    void recordStoreRead(generation_number generation, instant readStarted);
 
     /// @returns when this host may ask others to end its recovering state. Acknowledgements from before its restart
-    /// have expired by then (see isAcknowledged()), so that what it forgot is not part of a majority observed later.
-    [[nodiscard]] instant recoverAskTime() const;
+    /// have expired by then (see isAcknowledgementValid()), so that what it forgot is not part of a majority observed
+    /// later.
+    [[nodiscard]] instant earliestRecoverCall() const;
 
     /// Takes the answer of another host to a Recover call.
-    /// @param askedAt when the call was sent; calls before recoverAskTime() are not counted.
+    /// @param askedAt when the call was sent; calls before earliestRecoverCall() are not counted.
     /// @returns whether the host has left the recovering state: more than half of the registered hosts, itself not
     /// counted and only hosts that are not recovering counted, have answered, and the highest generation among them
     /// was adopted.
-    bool recoverAnswer(const std::string &host, bool isRecovering, generation_number generation, instant askedAt);
+    bool recordRecoverResponse(const std::string &host, bool isRecovering, generation_number generation,
+                               instant askedAt);
 
-    /// @param vouchedAt for each registered host the time of its newest vouch for the held generation, or kNoVouch.
+    /// @param vouchedAt for each registered host the time of its newest vouch for the held generation, or
+    /// kNotAcknowledged.
     /// @returns a stamp from vouches of more than half of the registered hosts, or nothing.
     [[nodiscard]] std::optional<freshness_stamp> quorumStamp(const std::vector<instant> &vouchedAt) const;
 
     /// @returns whether a vouch counts as an acknowledgement of its generation at `now`. Older ones don't: the host
     /// may have restarted and forgotten the generation since.
-    [[nodiscard]] bool isAcknowledged(instant vouchedAt, instant now) const;
+    [[nodiscard]] bool isAcknowledgementValid(instant vouchedAt, instant now) const;
 
     /// @returns when the lease for the held generation ends; zero where there is none.
     [[nodiscard]] instant leaseEnd() const;
@@ -65,7 +68,7 @@
     [[nodiscard]] bool mayDispatch(instant now) const;
 
     /// @returns whether this host may vouch: registered, not recovering, and holding the highest generation it knows.
-    [[nodiscard]] bool mayVouch() const;
+    [[nodiscard]] bool mayAcknowledge() const;
 
     [[nodiscard]] bool isRecovering() const { return m_recovering; }
     [[nodiscard]] bool isRegistered() const;
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -52,7 +52,7 @@
     chooseService();
     m_state.budget.noteRequest(m_service, m_request.readAt);
     if (!m_route->models.empty()) {
-        ladder_step step;
+        cascade_step step;
         step.models = m_route->models.size();
         step.maxSends = m_route->maxAttempts;
         m_model = firstModel(m_state.ladder, step);
@@ -204,7 +204,7 @@
     m_body.clear();
     m_isStream = false;
     m_events.reset();
-    m_promptMs = m_state.replicas.noteStart(m_replica, promptKey(), promptWork(), m_sentAt);
+    m_promptMs = m_state.replicas.recordStart(m_replica, promptKey(), promptWork(), m_sentAt);
     m_upstream = std::make_unique<upstream_exchange>(m_state.pool, upstreamRequest(replica),
                                                      static_cast<upstream_listener &>(*this));
 }
--- a/src/gateway_exchange_answers.cpp
+++ b/src/gateway_exchange_answers.cpp
@@ -72,7 +72,7 @@
 {
     if (m_route->models.empty() || m_hasBegun)
         return std::nullopt;
-    ladder_step step;
+    cascade_step step;
     step.models = m_route->models.size();
     step.current = m_model;
     step.sends = m_sends;
@@ -205,15 +205,15 @@
 
 void gateway_exchange::closeAttempt(std::optional<bool> isGood)
 {
-    m_state.replicas.noteEnd(m_replica, std::exchange(m_promptMs, 0), isGood, suspendAwareNow());
+    m_state.replicas.recordEnd(m_replica, std::exchange(m_promptMs, 0), isGood, suspendAwareNow());
     m_upstream.reset();
 }
 
 void gateway_exchange::follow(attempt_result result)
 {
-    attempt_facts facts;
+    attempt_outcome facts;
     facts.result = result;
-    facts.mayRepeat = m_route->mayRepeat();
+    facts.mayRetry = m_route->mayRetry();
     facts.mayHaveRun = m_mayHaveRun;
     facts.hasCallerBytes = m_hasBegun;
     facts.maxSends = m_route->maxAttempts;
@@ -224,19 +224,19 @@
     repeat(result, facts);
 }
 
-void gateway_exchange::repeat(attempt_result result, attempt_facts facts)
+void gateway_exchange::repeat(attempt_result result, attempt_outcome facts)
 {
-    auto step = stepAfter(facts);
+    auto step = nextStepAfter(facts);
     const bool isArrival = result != attempt_result::not_connected;
-    if (step == next_step::try_again && isArrival
+    if (step == next_step::retry && isArrival
         && !m_state.budget.takeRepeat(m_service, repeat_reason::failure, suspendAwareNow())) {
         facts.sends = facts.maxSends;
-        step = stepAfter(facts);
+        step = nextStepAfter(facts);
     }
     switch (step) {
     case next_step::pass_on:
         return passOn();
-    case next_step::try_again:
+    case next_step::retry:
         return attempt();
     case next_step::refuse:
         return refuse(refusal::not_run);
--- a/src/gateway_exchange_p.h
+++ b/src/gateway_exchange_p.h
@@ -1,6 +1,6 @@
 // One caller's request on its way: checks it against the configuration, sends it to a replica, passes the answer on,
 // and follows the rules on repeats, escalation and resumption. The decisions themselves are in attempt_rules,
-// model_ladder, replica_table, retry_budget and rollout_policy.
+// model_cascade, replica_table, retry_budget and rollout_policy.
 #pragma once
 
 #include "attempt_rules_p.h"
@@ -9,7 +9,7 @@
 #include "forwarding_p.h"
 #include "gateway_metrics_p.h"
 #include "gateway_settings_p.h"
-#include "model_ladder_p.h"
+#include "model_cascade_p.h"
 #include "replica_table_p.h"
 #include "retry_budget_p.h"
 #include "rollout_policy_p.h"
@@ -31,7 +31,7 @@
     replica_table replicas;
     retry_budget budget;
     rollout_policy rollouts;
-    ladder_settings ladder;
+    cascade_settings ladder;
     upstream_pool pool;
     std::mt19937_64 random;
 
@@ -88,7 +88,7 @@
     void noteVersionAnswer(attempt_result result);
     void closeAttempt(std::optional<bool> isGood);
     void follow(attempt_result result);
-    void repeat(attempt_result result, attempt_facts facts);
+    void repeat(attempt_result result, attempt_outcome facts);
     void passOn();
     void refuse(refusal reason);
     void cutOff(std::string_view reason);
--- a/src/gateway_model_p.h
+++ b/src/gateway_model_p.h
@@ -43,7 +43,7 @@
     std::vector<std::string> models; ///< smallest first; empty: the caller names the model
     std::vector<route_target> targets; ///< at least one
 
-    [[nodiscard]] bool mayRepeat() const
+    [[nodiscard]] bool mayRetry() const
     {
         return repeats == repeat_rule::safe || (repeats == repeat_rule::stream && isResumable);
     }
--- a/src/gateway_settings_p.h
+++ b/src/gateway_settings_p.h
@@ -2,7 +2,7 @@
 // and the help text are made.
 #pragma once
 
-#include "model_ladder_p.h"
+#include "model_cascade_p.h"
 #include "process_settings_p.h"
 #include "retry_budget_p.h"
 
--- a/src/load_board.cpp
+++ b/src/load_aggregator.cpp
@@ -1,17 +1,17 @@
-// Sums of the hosts' loads; see load_board_p.h.
-#include "load_board_p.h"
+// Sums of the hosts' loads; see load_aggregator_p.h.
+#include "load_aggregator_p.h"
 
 namespace foxtaildyke
 {
 
-void load_board::set(const std::string &host, std::vector<replica_load> loads, instant now)
+void load_aggregator::set(const std::string &host, std::vector<replica_load> loads, instant now)
 {
     m_reports.insert_or_assign(host, report{std::move(loads), now});
 }
 
-std::vector<replica_load> load_board::totals(instant now)
+std::vector<replica_load> load_aggregator::totals(instant now)
 {
-    std::erase_if(m_reports, [now](const auto &entry) { return now - entry.second.at > kMemory; });
+    std::erase_if(m_reports, [now](const auto &entry) { return now - entry.second.at > kReportLifetime; });
     std::map<std::string, replica_load> sums;
     for (const auto &[host, report] : m_reports) {
         for (const auto &load : report.loads) {
--- a/src/load_board_p.h
+++ b/src/load_aggregator_p.h
@@ -7,7 +7,7 @@
 namespace foxtaildyke
 {
 
-class load_board
+class load_aggregator
 {
 public:
     /// Replaces what a host has at the replicas.
@@ -17,7 +17,7 @@
     [[nodiscard]] std::vector<replica_load> totals(instant now);
 
     /// Time after which the report of a host that isn't heard of is forgotten: two of its calls.
-    static constexpr std::chrono::milliseconds kMemory{1500};
+    static constexpr std::chrono::milliseconds kReportLifetime{1500};
 
 private:
     struct report {
--- a/src/model_ladder.cpp
+++ b/src/model_cascade.cpp
@@ -1,17 +1,17 @@
-// Choice of the model; see model_ladder_p.h.
-#include "model_ladder_p.h"
+// Choice of the model; see model_cascade_p.h.
+#include "model_cascade_p.h"
 
 namespace foxtaildyke
 {
 
-std::size_t firstModel(const ladder_settings &settings, const ladder_step &step)
+std::size_t firstModel(const cascade_settings &settings, const cascade_step &step)
 {
     // One send leaves no second try, so the answer must be good at once.
     const bool canEscalate = step.maxSends > 1;
     return settings.startsSmall && canEscalate ? 0 : step.models - 1;
 }
 
-std::optional<std::size_t> nextModel(const ladder_settings &settings, const ladder_step &step)
+std::optional<std::size_t> nextModel(const cascade_settings &settings, const cascade_step &step)
 {
     const bool isLargest = step.current + 1 >= step.models;
     if (isLargest || step.sends >= step.maxSends || !step.confidence)
--- a/src/model_ladder_p.h
+++ b/src/model_cascade_p.h
@@ -8,7 +8,7 @@
 namespace foxtaildyke
 {
 
-struct ladder_settings {
+struct cascade_settings {
     /// Confidence in percent below which an answer of the smallest model is dropped for one of the largest.
     std::uint32_t confidenceToKeep = 60;
     /// Whether requests start at the smallest model.
@@ -19,7 +19,7 @@
 };
 
 /// State of a request on its way up.
-struct ladder_step {
+struct cascade_step {
     std::size_t models = 1; ///< of the route, smallest first
     std::size_t current = 0;
     std::uint32_t sends = 0; ///< replicas to which the request was sent
@@ -30,10 +30,10 @@
 };
 
 /// @returns index of the model to start with.
-[[nodiscard]] std::size_t firstModel(const ladder_settings &settings, const ladder_step &step);
+[[nodiscard]] std::size_t firstModel(const cascade_settings &settings, const cascade_step &step);
 
 /// @returns the model to go on with, or nothing where the answer that has begun is to be kept.
 /// @remarks Ask the retry budget afterwards: each step is one more arrival at the service.
-[[nodiscard]] std::optional<std::size_t> nextModel(const ladder_settings &settings, const ladder_step &step);
+[[nodiscard]] std::optional<std::size_t> nextModel(const cascade_settings &settings, const cascade_step &step);
 
 } // namespace foxtaildyke
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -82,7 +82,7 @@
     if (self != hosts.end())
         m_self = static_cast<std::size_t>(self - hosts.begin());
     m_shared.setDamping(hosts.size() > kSmallFleet ? kDampingDivisor : 0);
-    m_vouchedAt.assign(hosts.size(), kNoVouch);
+    m_vouchedAt.assign(hosts.size(), kNotAcknowledged);
     m_acknowledged.assign(hosts.size(), false);
     ++m_acknowledgedNews;
     m_reportsSubtree = true;
@@ -252,9 +252,9 @@
         group.lag = std::max(group.lag, lag);
     };
     for (std::size_t i = 0; i < m_vouchedAt.size(); ++i)
-        if (m_fresh.isAcknowledged(m_vouchedAt[i], now))
+        if (m_fresh.isAcknowledgementValid(m_vouchedAt[i], now))
             add(i, m_vouchedAt[i]);
-    if (m_self && m_fresh.mayVouch())
+    if (m_self && m_fresh.mayAcknowledge())
         add(*m_self, now);
     std::vector<vouch_set> groups;
     for (auto *group : {&recent, &old})
--- a/src/relay_children.cpp
+++ b/src/relay_children.cpp
@@ -65,7 +65,7 @@
 {
     if (!config.isEmpty() && generation > m_fresh.generation())
         m_hooks.adoptConfig(config);
-    m_fresh.noteExists(generation);
+    m_fresh.recordGeneration(generation);
 }
 
 void relay::takeVouches(const exchange_call &call)
@@ -135,7 +135,7 @@
     std::erase_if(m_children, [&](const auto &pair) {
         return !pair.second.held && now - pair.second.lastCallAt > kSilentPeriods * period();
     });
-    bool isComplete = m_reportsSubtree && m_fresh.mayVouch();
+    bool isComplete = m_reportsSubtree && m_fresh.mayAcknowledge();
     for (auto &[name, from] : m_children) {
         isComplete = isComplete && from.generation == m_fresh.generation();
         if (from.held && (hasNewsFor(from) || now >= from.heldSince + period()))
@@ -169,7 +169,7 @@
         return;
     m_shared.addToOwnTally(m_deltas.takeAll());
     m_totals = subtreeDemand();
-    if (m_self && m_fresh.mayVouch())
+    if (m_self && m_fresh.mayAcknowledge())
         m_vouchedAt[*m_self] = now;
     if (const auto stamp = m_fresh.quorumStamp(m_vouchedAt))
         m_fresh.stamp(*stamp);
@@ -181,7 +181,7 @@
     const auto before = acknowledgedCount();
     host_bits bits(m_vouchedAt.size());
     for (std::size_t i = 0; i < bits.size(); ++i)
-        bits[i] = m_fresh.isAcknowledged(m_vouchedAt[i], now);
+        bits[i] = m_fresh.isAcknowledgementValid(m_vouchedAt[i], now);
     if (bits == m_acknowledged)
         return;
     m_acknowledged = std::move(bits);
--- a/src/relay_task.cpp
+++ b/src/relay_task.cpp
@@ -167,7 +167,7 @@
     m_fresh.stamp({generation, begun});
     if (generation > m_fresh.generation())
         adopt({{}, object.value().body}, "store read");
-    m_fresh.storeRead(generation, begun);
+    m_fresh.recordStoreRead(generation, begun);
 }
 
 void relay_task::adopt(const config_content &content, const char *source)
@@ -225,7 +225,7 @@
     if (!reply.document().empty())
         adopt({{}, reply.document()}, "recovery");
     const bool wasRecovering = m_fresh.isRecovering();
-    if (m_fresh.recoverAnswer(host, reply.recovering(), reply.generation(), askedAt) && wasRecovering)
+    if (m_fresh.recordRecoverResponse(host, reply.recovering(), reply.generation(), askedAt) && wasRecovering)
         m_note("recovered", "answers of a majority", m_fresh.generation());
     drive();
 }
--- a/src/relay_task_core.cpp
+++ b/src/relay_task_core.cpp
@@ -80,7 +80,7 @@
 void relay_task::publishLease()
 {
     // A host that may not vouch has no lease, whatever stamps it has.
-    const lease_changed lease{m_fresh.generation(), m_fresh.mayVouch() ? m_fresh.leaseEnd() : instant{}};
+    const lease_changed lease{m_fresh.generation(), m_fresh.mayAcknowledge() ? m_fresh.leaseEnd() : instant{}};
     if (lease.generation == m_lease.generation && lease.expiresAt == m_lease.expiresAt)
         return;
     m_lease = lease;
--- a/src/replica_table.cpp
+++ b/src/replica_table.cpp
@@ -168,7 +168,8 @@
     return &(hasPrompt ? soonest(open, query, now) : leastLoaded(open))->entry;
 }
 
-double replica_table::noteStart(const std::string &id, std::uint64_t sharedPrompt, const prompt_work &work, instant now)
+double replica_table::recordStart(const std::string &id, std::uint64_t sharedPrompt, const prompt_work &work,
+                                  instant now)
 {
     const auto found = m_replicas.find(id);
     if (found == m_replicas.end())
@@ -192,7 +193,7 @@
         found->second.backlogMs = std::max(0.0, found->second.backlogMs - promptMs);
 }
 
-void replica_table::noteEnd(const std::string &id, double promptMs, std::optional<bool> isGood, instant now)
+void replica_table::recordEnd(const std::string &id, double promptMs, std::optional<bool> isGood, instant now)
 {
     noteFirstByte(id, promptMs);
     const auto found = m_replicas.find(id);
--- a/src/replica_table_p.h
+++ b/src/replica_table_p.h
@@ -40,14 +40,14 @@
     /// Counts an attempt that is sent.
     /// @param sharedPrompt as in the query.
     /// @returns the part of the prompt that the replica has to read, in ms.
-    double noteStart(const std::string &id, std::uint64_t sharedPrompt, const prompt_work &work, instant now);
+    double recordStart(const std::string &id, std::uint64_t sharedPrompt, const prompt_work &work, instant now);
 
-    /// The replica has read the prompt of an attempt. @param promptMs as noteStart() returned it.
+    /// The replica has read the prompt of an attempt. @param promptMs as recordStart() returned it.
     void noteFirstByte(const std::string &id, double promptMs);
 
     /// @param promptMs of an attempt whose prompt has not been read, otherwise 0.
     /// @param isGood nothing: the end tells nothing about the replica.
-    void noteEnd(const std::string &id, double promptMs, std::optional<bool> isGood, instant now);
+    void recordEnd(const std::string &id, double promptMs, std::optional<bool> isGood, instant now);
 
     /// @returns replicas at which this host has requests.
     [[nodiscard]] std::vector<replica_load> ownLoad() const;
--- a/src/router_core_answers.cpp
+++ b/src/router_core_answers.cpp
@@ -107,7 +107,7 @@
 {
     const auto kind = m_config->kindByName(request.input.kind);
     if (!kind.isValid() || !(*m_config)[kind].rated)
-        return noteResult(request.answer.version, std::nullopt);
+        return recordResult(request.answer.version, std::nullopt);
     m_ratings[request.lastAttempt] = {.request = request.input.request,
                                       .kind = request.input.kind,
                                       .stratum = stratumOf(request),
@@ -132,9 +132,9 @@
     if (input.scorePermille) {
         const bool passed = *input.scorePermille >= rating.targetPermille;
         m_policy.learn(rating.kind, rating.version, passed);
-        noteResult(rating.version, passed, rating.stratum);
+        recordResult(rating.version, passed, rating.stratum);
     } else {
-        noteResult(rating.version, std::nullopt);
+        recordResult(rating.version, std::nullopt);
     }
     auto *request = find(rating.request);
     if (request && request->phase == request_phase::rating && request->lastAttempt == input.attempt)
--- a/src/router_core_attempts.cpp
+++ b/src/router_core_attempts.cpp
@@ -147,8 +147,8 @@
 {
     const auto found = m_attempts.find(*request.attempt);
     const auto duration = std::chrono::duration_cast<std::chrono::milliseconds>(m_now - found->second.startedAt);
-    m_balancer.noteEnd(found->second.upstream, failure, m_now);
-    m_admission.noteEnd(found->second.service, request.priority, duration);
+    m_balancer.recordEnd(found->second.upstream, failure, m_now);
+    m_admission.recordEnd(found->second.service, request.priority, duration);
     const auto running = m_running.find(request.fingerprint);
     if (--running->second == 0)
         m_running.erase(running);
@@ -174,7 +174,7 @@
 {
     const bool isEvidence =
         isVersionFault(failure) || (failure == attempt_failure::timed_out && isUnlikelyTimeout(request, attempt));
-    noteResult(attempt.version, isEvidence ? std::optional(false) : std::nullopt, stratumOf(request));
+    recordResult(attempt.version, isEvidence ? std::optional(false) : std::nullopt, stratumOf(request));
 }
 
 bool router_core::implementation::isUnlikelyTimeout(const open_request &request, const open_attempt &attempt) const
@@ -193,10 +193,10 @@
     return request.aboveModel.empty() ? request.input.kind : request.input.kind + "/escalated";
 }
 
-void router_core::implementation::noteResult(const std::string &version, std::optional<bool> passed,
-                                             const std::string &stratum)
+void router_core::implementation::recordResult(const std::string &version, std::optional<bool> passed,
+                                               const std::string &stratum)
 {
-    m_evidence.noteResult(version, passed, stratum);
+    m_evidence.recordResult(version, passed, stratum);
     m_evidenceChanged = true;
     checkEvidence(version);
 }
@@ -253,7 +253,7 @@
         return nameOf(chosen.reason);
     if (!waitsForLease && !hasOtherUpstream(request, chosen.version))
         return "no other upstream";
-    if (!m_admission.takeRetry(m_config->tune))
+    if (!m_admission.tryConsumeRetry(m_config->tune))
         return "retry budget used up";
     return {};
 }
--- a/src/router_core_dispatch.cpp
+++ b/src/router_core_dispatch.cpp
@@ -229,7 +229,7 @@
 
 double router_core::implementation::msForEachStart(const open_request &request) const
 {
-    const auto total = m_admission.startEstimate(request.account, request.priority, request.pool);
+    const auto total = m_admission.estimateQueueWait(request.account, request.priority, request.pool);
     const auto ahead = std::ranges::count_if(m_requests, [&](const auto &item) {
         const auto &other = *item.second;
         return other.phase == request_phase::queued && other.pool == request.pool && other.priority <= request.priority;
@@ -323,10 +323,10 @@
     const auto limit = request.input.maxTokens == 0 ? kind.maxTokens : request.input.maxTokens;
     m_admission.remove(request.input.request);
     if (request.attempts++ == 0)
-        m_admission.noteFirstAttempt();
-    m_balancer.noteStart(upstream.name);
-    m_admission.noteStart(upstream.service, request.priority);
-    m_evidence.noteDispatch(version.name);
+        m_admission.recordFirstAttempt();
+    m_balancer.recordStart(upstream.name);
+    m_admission.recordStart(upstream.service, request.priority);
+    m_evidence.recordDispatch(version.name);
     m_evidenceChanged = true;
     ++m_running[request.fingerprint];
     m_attempts[token] = {.request = request.input.request,
--- a/src/router_core_state_p.h
+++ b/src/router_core_state_p.h
@@ -176,7 +176,7 @@
     /// @param ran an upstream may have run the failed attempt.
     void retryOrFail(open_request &request, reason_code reason, bool ran);
     [[nodiscard]] std::string_view whyNoRetry(const open_request &request, bool ran);
-    void noteResult(const std::string &version, std::optional<bool> passed, const std::string &stratum = {});
+    void recordResult(const std::string &version, std::optional<bool> passed, const std::string &stratum = {});
     [[nodiscard]] bool isUnlikelyTimeout(const open_request &request, const open_attempt &attempt) const;
     [[nodiscard]] static std::string stratumOf(const open_request &request);
     void checkEvidence(const std::string &version);
--- a/tests/freshness_sim.cpp
+++ b/tests/freshness_sim.cpp
@@ -113,7 +113,7 @@
         request.to = to;
         request.fromIncarnation = host.incarnation;
         request.generation = host.state->generation();
-        request.isVouch = host.state->mayVouch();
+        request.isVouch = host.state->mayAcknowledge();
         request.echoed = host.echo[m_hosts[to].name];
         request.sentAt = clockOf(host);
         m_messages.push_back(request);
@@ -136,7 +136,7 @@
     const auto &asker = m_hosts[request.from];
     const bool echoIsOwn = request.echoed != instant{} && host.issued[asker.name] == request.echoed;
     if (request.isVouch && echoIsOwn && request.generation == host.state->generation()) {
-        auto &vouched = host.vouched.try_emplace(asker.name, kNoVouch).first->second;
+        auto &vouched = host.vouched.try_emplace(asker.name, kNotAcknowledged).first->second;
         vouched = std::max(vouched, request.echoed);
     }
     host.issued[asker.name] = clockOf(host);
@@ -166,19 +166,19 @@
     if (reply.stamp)
         host.state->stamp({reply.stamp->generation, reply.sentAt - reply.stamp->currentAt});
     const bool wasRecovering = host.state->isRecovering();
-    if (host.state->recoverAnswer(peer, reply.recovering, reply.generation, reply.sentAt) && wasRecovering)
+    if (host.state->recordRecoverResponse(peer, reply.recovering, reply.generation, reply.sentAt) && wasRecovering)
         ++m_quorumRecoveries;
 }
 
 void freshness_sim::applyStamps(sim_host &host)
 {
-    if (host.state->mayVouch())
+    if (host.state->mayAcknowledge())
         host.vouched[host.name] = clockOf(host);
     std::vector<instant> times;
     if (host.state->generation() == 0)
         return;
     for (const auto &name : m_store[host.state->generation()].hosts)
-        times.push_back(host.vouched.contains(name) ? host.vouched[name] : kNoVouch);
+        times.push_back(host.vouched.contains(name) ? host.vouched[name] : kNotAcknowledged);
     const auto stamp = host.state->quorumStamp(times);
     if (!stamp)
         return;
@@ -209,7 +209,7 @@
         if (reply.incarnation != host.incarnation)
             continue;
         adopt(host, reply.generation);
-        host.state->storeRead(reply.generation, reply.readStarted);
+        host.state->recordStoreRead(reply.generation, reply.readStarted);
     }
 }
 
@@ -245,7 +245,7 @@
     const auto &host = m_hosts[observer];
     std::vector<std::string> names;
     for (const auto &[name, at] : host.vouched)
-        if (host.state->isAcknowledged(at, clockOf(host)))
+        if (host.state->isAcknowledgementValid(at, clockOf(host)))
             names.push_back(name);
     return names;
 }
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -88,7 +88,7 @@
     CHECK(*waits.rbegin() >= 1500ms);
     std::set<std::chrono::milliseconds> spreads;
     for (int i = 0; i < 20; ++i)
-        spreads.insert(gate.spread(1000ms));
+        spreads.insert(gate.addJitter(1000ms));
     CHECK(spreads.size() >= 15);
     CHECK(*spreads.begin() >= 1000ms);
     CHECK(*spreads.rbegin() <= 1500ms);
@@ -144,24 +144,24 @@
 {
     // A request admitted without a chance to start in time would wait for its deadline for nothing.
     admission queue;
-    CHECK(queue.startEstimate("a", request_class::batch, "pool") == 0ms);
+    CHECK(queue.estimateQueueWait("a", request_class::batch, "pool") == 0ms);
     for (int i = 0; i < 8; ++i)
-        queue.noteStart("pool", request_class::batch);
-    queue.noteEnd("pool", request_class::batch, 1000ms);
-    queue.noteStart("pool", request_class::batch);
-    CHECK(queue.startEstimate("a", request_class::batch, "pool") == 0ms);
+        queue.recordStart("pool", request_class::batch);
+    queue.recordEnd("pool", request_class::batch, 1000ms);
+    queue.recordStart("pool", request_class::batch);
+    CHECK(queue.estimateQueueWait("a", request_class::batch, "pool") == 0ms);
     for (std::uint64_t i = 0; i < 16; ++i)
         queue.enqueue(token(i), "a", 1, request_class::batch, "pool");
     queue.enqueue(token(99), "a", 1, request_class::batch, "other");
-    CHECK(queue.startEstimate("a", request_class::batch, "pool") == 2000ms);
-    CHECK(queue.startEstimate("a", request_class::interactive, "pool") == 0ms);
-    CHECK(queue.startEstimate("b", request_class::batch, "pool") < 500ms);
+    CHECK(queue.estimateQueueWait("a", request_class::batch, "pool") == 2000ms);
+    CHECK(queue.estimateQueueWait("a", request_class::interactive, "pool") == 0ms);
+    CHECK(queue.estimateQueueWait("b", request_class::batch, "pool") < 500ms);
     // Short lookups in the same pool must not make the drafts ahead look short.
     for (int i = 0; i < 50; ++i) {
-        queue.noteStart("pool", request_class::interactive);
-        queue.noteEnd("pool", request_class::interactive, 10ms);
+        queue.recordStart("pool", request_class::interactive);
+        queue.recordEnd("pool", request_class::interactive, 10ms);
     }
-    CHECK(queue.startEstimate("a", request_class::batch, "pool") == 2000ms);
+    CHECK(queue.estimateQueueWait("a", request_class::batch, "pool") == 2000ms);
 }
 
 TEST_CASE("the retry budget holds amplification at 1.1")
@@ -172,15 +172,15 @@
     int retries = 0;
     constexpr int kAttempts = 5000;
     for (int i = 0; i < kAttempts; ++i) {
-        budget.noteFirstAttempt();
-        retries += budget.takeRetry(tune) ? 1 : 0;
+        budget.recordFirstAttempt();
+        retries += budget.tryConsumeRetry(tune) ? 1 : 0;
     }
     CHECK(retries <= kAttempts / 10 + 1);
     CHECK(retries >= kAttempts / 10 - 1);
     admission quiet;
-    CHECK(quiet.takeRetry(tune));
-    CHECK_FALSE(quiet.takeRetry(tune));
+    CHECK(quiet.tryConsumeRetry(tune));
+    CHECK_FALSE(quiet.tryConsumeRetry(tune));
     tuning none;
     none.retryBudgetPercent = 0;
-    CHECK_FALSE(admission{}.takeRetry(none));
+    CHECK_FALSE(admission{}.tryConsumeRetry(none));
 }
--- a/tests/test_evidence.cpp
+++ b/tests/test_evidence.cpp
@@ -37,7 +37,7 @@
 int answersUntilRejected(evidence_table &table, const fleet &config, coin &source, double failureRate, int limit)
 {
     for (int i = 0; i < limit; ++i) {
-        table.noteResult("swift-2", source.passes(failureRate));
+        table.recordResult("swift-2", source.passes(failureRate));
         if (table.isRejected(config, kNew))
             return i + 1;
     }
@@ -48,7 +48,7 @@
 {
     evidence_table table;
     for (int i = 0; i < 1000; ++i)
-        table.noteResult("swift-1", source.passes(failureRate));
+        table.recordResult("swift-1", source.passes(failureRate));
     return table;
 }
 
@@ -64,7 +64,7 @@
         for (int run = 0; run < 200; ++run) {
             auto table = withBaseline(source, 0.05);
             for (int i = 0; i < goodBefore; ++i)
-                table.noteResult("swift-2", source.passes(0.05));
+                table.recordResult("swift-2", source.passes(0.05));
             CHECK_FALSE(table.isRejected(config, kNew));
             sum += answersUntilRejected(table, config, source, 0.5, 400);
         }
@@ -105,7 +105,7 @@
     const auto note = [&](std::string_view version, std::string_view stratum, double rate, int answers) {
         bool rejected = false;
         for (int i = 0; i < answers; ++i) {
-            table.noteResult(version, source.passes(rate), stratum);
+            table.recordResult(version, source.passes(rate), stratum);
             rejected = table.isRejected(config, kNew) || table.isRejected(config, kOld) || rejected;
         }
         return rejected;
@@ -126,12 +126,12 @@
     coin source{std::mt19937_64{15}};
     evidence_table table;
     for (int i = 0; i < 1000; ++i) {
-        table.noteResult("swift-1", source.passes(0.3));
+        table.recordResult("swift-1", source.passes(0.3));
         REQUIRE_FALSE(table.isRejected(config, kOld));
     }
     int taken = 0;
     for (; taken < 300 && !table.isRejected(config, kOld); ++taken)
-        table.noteResult("swift-1", source.passes(0.9));
+        table.recordResult("swift-1", source.passes(0.9));
     CHECK(taken < 60);
 }
 
@@ -141,7 +141,7 @@
     const auto config = rolloutFleet(2);
     evidence_table one("h0");
     evidence_table all("h0");
-    one.noteResult("swift-2", false);
+    one.recordResult("swift-2", false);
     const auto own = one.takeDeltas();
     REQUIRE(own.size() == 1);
     CHECK(one.takeDeltas().empty());
@@ -150,7 +150,7 @@
     one.setTotals(totals, instant{2}, own);
     CHECK_FALSE(one.isRejected(config, kNew));
     for (const bool passed : {false, false, false, true, true})
-        all.noteResult("swift-2", passed);
+        all.recordResult("swift-2", passed);
     CHECK_FALSE(all.isRejected(config, kNew));
     CHECK(one.score("swift-2") == doctest::Approx(all.score("swift-2")));
 }
@@ -179,7 +179,7 @@
     for (const auto &host : config.hosts) {
         evidence_table table(host.name);
         while (table.hasExposureLeft(config, kNew, instant{0}) && exposed < 100) {
-            table.noteDispatch("swift-2");
+            table.recordDispatch("swift-2");
             ++exposed;
         }
     }
@@ -193,13 +193,13 @@
     const auto take = [&](instant now) {
         int taken = 0;
         for (; table.hasExposureLeft(config, kNew, now) && taken < 100; ++taken)
-            table.noteDispatch("swift-2");
+            table.recordDispatch("swift-2");
         return taken;
     };
     CHECK(take(instant{0}) == 2);
     table.setTotals({{"swift-2", 0, 0, 2, 0}}, instant{1000});
     CHECK(take(instant{1000}) == 2);
-    table.noteResult("swift-2", std::nullopt);
+    table.recordResult("swift-2", std::nullopt);
     CHECK(take(instant{60'000'000}) == 0);
 }
 
@@ -210,10 +210,10 @@
     config.versions[1].state = version_state::active;
     evidence_table table("h0");
     for (int i = 0; i < 20; ++i)
-        table.noteDispatch("swift-2");
+        table.recordDispatch("swift-2");
     CHECK(table.hasExposureLeft(config, kNew, instant{0}));
     for (int i = 0; i < 3; ++i)
-        table.noteResult("swift-2", false);
+        table.recordResult("swift-2", false);
     CHECK_FALSE(table.isRejected(config, kNew));
     CHECK_FALSE(table.hasExposureLeft(config, kNew, instant{0}));
 }
--- a/tests/test_freshness.cpp
+++ b/tests/test_freshness.cpp
@@ -17,7 +17,7 @@
 {
     freshness state("a", 0s);
     state.adopt(5, kHosts, kLease);
-    state.storeRead(5, 10s);
+    state.recordStoreRead(5, 10s);
     return state;
 }
 
@@ -53,8 +53,8 @@
 TEST_CASE("freshness: a host that knows a higher generation neither vouches nor dispatches under a lower one")
 {
     auto state = readyHost();
-    state.noteExists(6);
-    CHECK_FALSE(state.mayVouch());
+    state.recordGeneration(6);
+    CHECK_FALSE(state.mayAcknowledge());
     CHECK_FALSE(state.mayDispatch(11s));
     CHECK_FALSE(state.quorumStamp({11s, 11s, 11s, 11s, 11s}).has_value());
 }
@@ -62,8 +62,8 @@
 TEST_CASE("freshness: a quorum needs vouches of more than half and is dated by the oldest vouch of the newest majority")
 {
     const auto state = readyHost();
-    CHECK_FALSE(state.quorumStamp({12s, 11s, kNoVouch, kNoVouch, kNoVouch}).has_value());
-    const auto stamp = state.quorumStamp({12s, 11s, kNoVouch, 13s, 2s});
+    CHECK_FALSE(state.quorumStamp({12s, 11s, kNotAcknowledged, kNotAcknowledged, kNotAcknowledged}).has_value());
+    const auto stamp = state.quorumStamp({12s, 11s, kNotAcknowledged, 13s, 2s});
     REQUIRE(stamp.has_value());
     CHECK(stamp->currentAt == 11s);
     CHECK(stamp->generation == 5);
@@ -74,9 +74,9 @@
 {
     freshness state("a", 0s);
     state.adopt(1, {"a", "b", "c", "d"}, kLease);
-    state.storeRead(1, 1s);
-    CHECK_FALSE(state.quorumStamp({1s, 1s, kNoVouch, kNoVouch}).has_value());
-    CHECK(state.quorumStamp({1s, 1s, 1s, kNoVouch}).has_value());
+    state.recordStoreRead(1, 1s);
+    CHECK_FALSE(state.quorumStamp({1s, 1s, kNotAcknowledged, kNotAcknowledged}).has_value());
+    CHECK(state.quorumStamp({1s, 1s, 1s, kNotAcknowledged}).has_value());
 }
 
 TEST_CASE("freshness: a recovering host neither vouches nor dispatches, also with a fresh stamp")
@@ -84,9 +84,9 @@
     freshness state("a", 0s);
     state.adopt(5, kHosts, kLease);
     state.stamp({5, 10s});
-    CHECK_FALSE(state.mayVouch());
+    CHECK_FALSE(state.mayAcknowledge());
     CHECK_FALSE(state.mayDispatch(10s));
-    state.storeRead(5, 10s);
+    state.recordStoreRead(5, 10s);
     CHECK(state.mayDispatch(10s));
 }
 
@@ -94,23 +94,23 @@
 {
     freshness state("a", 0s);
     state.adopt(5, kHosts, kLease);
-    CHECK_FALSE(state.recoverAnswer("a", false, 5, 5s));
-    CHECK_FALSE(state.recoverAnswer("b", true, 5, 5s));
-    CHECK_FALSE(state.recoverAnswer("x", false, 5, 5s)); // not registered
-    CHECK_FALSE(state.recoverAnswer("c", false, 5, 5s));
-    CHECK_FALSE(state.recoverAnswer("c", false, 5, 5s));
-    CHECK_FALSE(state.recoverAnswer("d", false, 5, 5s));
-    CHECK(state.recoverAnswer("e", false, 4, 5s));
-    CHECK(state.mayVouch());
+    CHECK_FALSE(state.recordRecoverResponse("a", false, 5, 5s));
+    CHECK_FALSE(state.recordRecoverResponse("b", true, 5, 5s));
+    CHECK_FALSE(state.recordRecoverResponse("x", false, 5, 5s)); // not registered
+    CHECK_FALSE(state.recordRecoverResponse("c", false, 5, 5s));
+    CHECK_FALSE(state.recordRecoverResponse("c", false, 5, 5s));
+    CHECK_FALSE(state.recordRecoverResponse("d", false, 5, 5s));
+    CHECK(state.recordRecoverResponse("e", false, 4, 5s));
+    CHECK(state.mayAcknowledge());
 }
 
 TEST_CASE("freshness: recovery by answers waits for the highest generation among the answers")
 {
     freshness state("a", 0s);
     state.adopt(5, kHosts, kLease);
-    state.recoverAnswer("b", false, 5, 5s);
-    state.recoverAnswer("c", false, 6, 5s);
-    CHECK_FALSE(state.recoverAnswer("d", false, 5, 5s));
+    state.recordRecoverResponse("b", false, 5, 5s);
+    state.recordRecoverResponse("c", false, 6, 5s);
+    CHECK_FALSE(state.recordRecoverResponse("d", false, 5, 5s));
     REQUIRE(state.adopt(6, kHosts, kLease));
     CHECK_FALSE(state.isRecovering());
 }
@@ -119,26 +119,26 @@
 {
     freshness state("a", 100s);
     state.adopt(5, kHosts, kLease);
-    CHECK(state.recoverAskTime() == 104400ms);
+    CHECK(state.earliestRecoverCall() == 104400ms);
     for (const auto *name : {"b", "c", "d", "e"})
-        CHECK_FALSE(state.recoverAnswer(name, false, 5, 104399ms));
+        CHECK_FALSE(state.recordRecoverResponse(name, false, 5, 104399ms));
     CHECK(state.isRecovering());
 }
 
 TEST_CASE("freshness: an acknowledgement expires with the lease, as the host may have forgotten it")
 {
     const auto state = readyHost();
-    CHECK(state.isAcknowledged(10s, 13999ms));
-    CHECK_FALSE(state.isAcknowledged(10s, 14s));
-    CHECK_FALSE(state.isAcknowledged(kNoVouch, 14s));
+    CHECK(state.isAcknowledgementValid(10s, 13999ms));
+    CHECK_FALSE(state.isAcknowledgementValid(10s, 14s));
+    CHECK_FALSE(state.isAcknowledgementValid(kNotAcknowledged, 14s));
 }
 
 TEST_CASE("freshness: a host that is not registered never dispatches and never vouches")
 {
     freshness state("z", 0s);
     state.adopt(5, kHosts, kLease);
-    state.storeRead(5, 10s);
+    state.recordStoreRead(5, 10s);
     CHECK_FALSE(state.isRecovering());
-    CHECK_FALSE(state.mayVouch());
+    CHECK_FALSE(state.mayAcknowledge());
     CHECK_FALSE(state.mayDispatch(10s));
 }
--- a/tests/test_gateway_decisions.cpp
+++ b/tests/test_gateway_decisions.cpp
@@ -3,8 +3,8 @@
 #include "attempt_rules_p.h"
 #include "event_splitter_p.h"
 #include "gateway_settings_p.h"
-#include "load_board_p.h"
-#include "model_ladder_p.h"
+#include "load_aggregator_p.h"
+#include "model_cascade_p.h"
 #include "replica_registry_p.h"
 #include "replica_table_p.h"
 #include "retry_budget_p.h"
@@ -39,11 +39,11 @@
     return entries;
 }
 
-attempt_facts makeFacts(attempt_result result, bool mayRepeat, bool mayHaveRun)
+attempt_outcome makeFacts(attempt_result result, bool mayRetry, bool mayHaveRun)
 {
-    attempt_facts facts;
+    attempt_outcome facts;
     facts.result = result;
-    facts.mayRepeat = mayRepeat;
+    facts.mayRetry = mayRetry;
     facts.mayHaveRun = mayHaveRun;
     facts.sends = 1;
     facts.maxSends = 3;
@@ -67,38 +67,38 @@
 TEST_CASE("attempt rules: what follows each end of an attempt")
 {
     using result = attempt_result;
-    CHECK(stepAfter(makeFacts(result::answered, false, true)) == next_step::pass_on);
-    CHECK(stepAfter(makeFacts(result::broken, false, true)) == next_step::fail);
-    CHECK(stepAfter(makeFacts(result::broken, true, true)) == next_step::try_again);
-    CHECK(stepAfter(makeFacts(result::not_run, false, false)) == next_step::try_again);
-    CHECK(stepAfter(makeFacts(result::server_error, false, true)) == next_step::pass_on);
-    CHECK(stepAfter(makeFacts(result::server_error, true, true)) == next_step::try_again);
+    CHECK(nextStepAfter(makeFacts(result::answered, false, true)) == next_step::pass_on);
+    CHECK(nextStepAfter(makeFacts(result::broken, false, true)) == next_step::fail);
+    CHECK(nextStepAfter(makeFacts(result::broken, true, true)) == next_step::retry);
+    CHECK(nextStepAfter(makeFacts(result::not_run, false, false)) == next_step::retry);
+    CHECK(nextStepAfter(makeFacts(result::server_error, false, true)) == next_step::pass_on);
+    CHECK(nextStepAfter(makeFacts(result::server_error, true, true)) == next_step::retry);
 
     auto last = makeFacts(result::not_run, false, false);
     last.sends = last.maxSends;
-    CHECK(stepAfter(last) == next_step::refuse);
+    CHECK(nextStepAfter(last) == next_step::refuse);
     last.mayHaveRun = true; // an attempt before this one may have run
-    CHECK(stepAfter(last) == next_step::fail);
+    CHECK(nextStepAfter(last) == next_step::fail);
 
     auto begun = makeFacts(result::broken, true, true);
     begun.hasCallerBytes = true;
-    CHECK(stepAfter(begun) == next_step::try_again);
+    CHECK(nextStepAfter(begun) == next_step::retry);
     begun.sends = begun.maxSends;
-    CHECK(stepAfter(begun) == next_step::cut_off);
+    CHECK(nextStepAfter(begun) == next_step::cut_off);
 
     auto late = makeFacts(result::broken, true, true);
     late.left = 5ms;
-    CHECK(stepAfter(late) == next_step::fail);
+    CHECK(nextStepAfter(late) == next_step::fail);
 }
 
 TEST_CASE("attempt rules: no state promises that a request has not run which may have run")
 {
     for (int result = 0; result < static_cast<int>(attempt_result::count); ++result)
-        for (const bool mayRepeat : {false, true})
+        for (const bool mayRetry : {false, true})
             for (const std::uint32_t sends : {1U, 3U}) {
-                auto facts = makeFacts(static_cast<attempt_result>(result), mayRepeat, true);
+                auto facts = makeFacts(static_cast<attempt_result>(result), mayRetry, true);
                 facts.sends = sends;
-                CHECK(stepAfter(facts) != next_step::refuse);
+                CHECK(nextStepAfter(facts) != next_step::refuse);
             }
 }
 
@@ -146,12 +146,12 @@
     REQUIRE(home);
     const std::string homeId = home->id;
     CHECK(table.pick(query, 1s)->id == homeId);
-    const double first = table.noteStart(homeId, 77, query.work, 1s);
+    const double first = table.recordStart(homeId, 77, query.work, 1s);
     CHECK(first == doctest::Approx(120));
     CHECK(table.pick(query, 1s)->id != homeId); // waiting there takes longer than reading the prompt again elsewhere
     table.noteFirstByte(homeId, first);
     CHECK(table.pick(query, 1s)->id == homeId);
-    CHECK(table.noteStart(homeId, 77, query.work, 2s) == doctest::Approx(20)); // the shared part has been read
+    CHECK(table.recordStart(homeId, 77, query.work, 2s) == doctest::Approx(20)); // the shared part has been read
 }
 
 TEST_CASE("replica table: a burst of long prompts is spread over all replicas")
@@ -167,7 +167,7 @@
         const auto *replica = table.pick(query, 1s);
         REQUIRE(replica);
         ++sent[replica->id];
-        table.noteStart(replica->id, query.sharedPrompt, query.work, 1s);
+        table.recordStart(replica->id, query.sharedPrompt, query.work, 1s);
     }
     CHECK(sent.size() == 9);
     for (const auto &[id, count] : sent)
@@ -181,8 +181,8 @@
     replica_query query;
     query.service = "s";
     for (int i = 0; i < 3; ++i) {
-        table.noteStart("r0", 0, {}, 1s);
-        table.noteEnd("r0", 0, false, 1s);
+        table.recordStart("r0", 0, {}, 1s);
+        table.recordEnd("r0", 0, false, 1s);
     }
     for (int i = 0; i < 50; ++i)
         CHECK(table.pick(query, 1500ms)->id != "r0");
@@ -198,12 +198,12 @@
     entries[0].startedAtMs = 1000;
     table.setReplicas(entries);
     for (int i = 0; i < 5; ++i)
-        table.noteStart("r0", 0, {}, 1s);
+        table.recordStart("r0", 0, {}, 1s);
     table.noteUnreachable("r0", 1s);
     entries[0].startedAtMs = 2000;
     table.setReplicas(entries);
     CHECK(table.running("r0") == 0);
-    table.noteEnd("r0", 0, true, 1s); // of an attempt from before
+    table.recordEnd("r0", 0, true, 1s); // of an attempt from before
     CHECK(table.running("r0") == 0);
 }
 
@@ -250,8 +250,8 @@
 
 TEST_CASE("model ladder: small first, the largest on low confidence, never beyond what is allowed")
 {
-    const ladder_settings settings;
-    ladder_step step;
+    const cascade_settings settings;
+    cascade_step step;
     step.models = 3;
     step.maxSends = 3;
     step.objective = 1000ms;
@@ -318,7 +318,7 @@
     for (int round = 0; round < 2; ++round) {
         for (auto &host : hosts) {
             const auto id = host.pick(query, 1s)->id;
-            host.noteStart(id, query.sharedPrompt, query.work, 1s);
+            host.recordStart(id, query.sharedPrompt, query.work, 1s);
             ++running[id];
             std::vector<replica_load> others;
             std::ranges::transform(running, std::back_inserter(others), [&](const auto &entry) {
@@ -334,7 +334,7 @@
 
 TEST_CASE("load board: sums of the hosts that report, and an estimate for those of other relays")
 {
-    load_board board;
+    load_aggregator board;
     board.set("a", {{"r1", 2, 30}}, 1s);
     board.set("b", {{"r1", 1, 10}, {"r2", 4, 0}}, 1s);
     const auto totals = board.totals(1s);
@@ -346,7 +346,7 @@
     CHECK(others[0].backlogMs == 90);
     CHECK(others[1].running == 12);
     board.set("b", {}, 2s);
-    CHECK(board.totals(2s + load_board::kMemory - 1ms).empty()); // "a" isn't heard of any more
+    CHECK(board.totals(2s + load_aggregator::kReportLifetime - 1ms).empty()); // "a" isn't heard of any more
 }
 
 TEST_CASE("retry budget: the slack is divided among all hosts of a large fleet")
