--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -139,12 +139,12 @@
     return requests;
 }
 
-void admission::noteStart(std::string_view pool, request_class priority)
+void admission::recordStart(std::string_view pool, request_class priority)
 {
     ++m_pools[std::string(pool)][static_cast<std::size_t>(priority)].inFlight;
 }
 
-void admission::noteEnd(std::string_view pool, request_class priority, std::chrono::milliseconds serviceTime)
+void admission::recordEnd(std::string_view pool, request_class priority, std::chrono::milliseconds serviceTime)
 {
     auto &state = m_pools[std::string(pool)][static_cast<std::size_t>(priority)];
     if (state.inFlight > 0)
--- a/src/admission_p.h
+++ b/src/admission_p.h
@@ -62,11 +62,11 @@
     [[nodiscard]] std::vector<request_token> order(std::size_t limit = SIZE_MAX) const;
 
     /// Counts an attempt that takes a slot of a pool.
-    void noteStart(std::string_view pool, request_class priority);
+    void recordStart(std::string_view pool, request_class priority);
 
     /// Counts an attempt that gives its slot back.
     /// @param serviceTime from start to end.
-    void noteEnd(std::string_view pool, request_class priority, std::chrono::milliseconds serviceTime);
+    void recordEnd(std::string_view pool, request_class priority, std::chrono::milliseconds serviceTime);
 
     /// @returns how long a request that arrived now would wait in the queue: the requests ahead of it over the rate at
     /// which this host starts requests of its class. 0 where nothing is known of the pool or nothing waits.
--- a/src/attempt_rules.cpp
+++ b/src/attempt_rules.cpp
@@ -9,7 +9,7 @@
 
 bool canTryAgain(const attempt_facts &facts)
 {
-    const bool isAllowed = facts.mayRepeat || !facts.mayHaveRun;
+    const bool isAllowed = facts.mayRetry || !facts.mayHaveRun;
     return isAllowed && facts.sends < facts.maxSends && facts.left >= kLeastTimeForRepeat;
 }
 
--- a/src/attempt_rules_p.h
+++ b/src/attempt_rules_p.h
@@ -34,7 +34,7 @@
 
 struct attempt_facts {
     attempt_result result = attempt_result::broken;
-    bool mayRepeat = false; ///< the kind of request may run more than once
+    bool mayRetry = false; ///< the kind of request may run more than once
     bool mayHaveRun = false; ///< this attempt or one before may have run
     bool hasCallerBytes = false; ///< part of the answer has gone to the caller
     std::uint32_t sends = 0; ///< replicas to which it was sent
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -218,7 +218,7 @@
     return members != nullptr ? members->size() : 0;
 }
 
-void balancer::noteStart(std::string_view upstream)
+void balancer::recordStart(std::string_view upstream)
 {
     const auto found = m_replicas.find(std::string(upstream));
     if (found == m_replicas.end())
@@ -227,7 +227,7 @@
     ++found->second.startsSinceReport;
 }
 
-void balancer::noteEnd(std::string_view upstream, std::optional<attempt_failure> failure, instant now)
+void balancer::recordEnd(std::string_view upstream, std::optional<attempt_failure> failure, instant now)
 {
     const auto found = m_replicas.find(std::string(upstream));
     if (found == m_replicas.end())
--- a/src/forwarding.cpp
+++ b/src/forwarding.cpp
@@ -54,7 +54,7 @@
     const auto parts = splitList(head.header(dialect.promptParts));
     if (parts.size() < 2)
         return;
-    facts.sharedPrompt = hashOf(parts[parts.size() - 2]) | 1U;
+    facts.sharedPrefixHash = hashOf(parts[parts.size() - 2]) | 1U;
     facts.sharedTokens = std::accumulate(parts.begin(), parts.end() - 1, std::uint64_t{0},
                                          [](std::uint64_t sum, const auto &part) { return sum + tokensOf(part); });
     facts.promptTokens = std::max(facts.promptTokens, facts.sharedTokens);
--- a/src/forwarding_p.h
+++ b/src/forwarding_p.h
@@ -21,7 +21,7 @@
     std::uint64_t promptTokens = 0; ///< shared ones included
     std::uint64_t sharedTokens = 0; ///< of the parts that other requests share
     std::uint64_t answerTokens = 0; ///< estimate, or the most
-    std::uint64_t sharedPrompt = 0; ///< hash of the prompt's parts that other requests share; 0: none
+    std::uint64_t sharedPrefixHash = 0; ///< hash of the prompt's parts that other requests share; 0: none
     std::uint64_t session = 0; ///< hash of the session's name, or of the id where there is none
 };
 
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -50,7 +50,7 @@
     m_deadline = m_request.readAt + wait;
     m_timer.start(left());
     chooseService();
-    m_state.budget.noteRequest(m_service, m_request.readAt);
+    m_state.budget.recordRequest(m_service, m_request.readAt);
     if (!m_route->models.empty()) {
         ladder_step step;
         step.models = m_route->models.size();
@@ -123,7 +123,7 @@
 /// @returns a key of the shared parts of the prompt for the present model, as engines keep them for each model apart.
 std::uint64_t gateway_exchange::promptKey() const
 {
-    return m_facts.sharedPrompt == 0 ? 0 : m_facts.sharedPrompt + m_model;
+    return m_facts.sharedPrefixHash == 0 ? 0 : m_facts.sharedPrefixHash + m_model;
 }
 
 const replica_entry *gateway_exchange::pickOf(const version_choice &choice, instant now)
@@ -132,7 +132,7 @@
     query.service = m_service;
     query.version = choice.version;
     query.excludedVersion = choice.excluded;
-    query.sharedPrompt = promptKey();
+    query.sharedPrefixHash = promptKey();
     query.work = promptWork();
     query.tried = &m_tried;
     return m_state.replicas.pick(query, now);
@@ -204,7 +204,7 @@
     m_body.clear();
     m_isStream = false;
     m_events.reset();
-    m_promptMs = m_state.replicas.noteStart(m_replica, promptKey(), promptWork(), m_sentAt);
+    m_promptMs = m_state.replicas.recordStart(m_replica, promptKey(), promptWork(), m_sentAt);
     m_upstream = std::make_unique<upstream_exchange>(m_state.pool, upstreamRequest(replica),
                                                      static_cast<upstream_listener &>(*this));
 }
@@ -243,7 +243,7 @@
     const auto now = suspendAwareNow();
     const auto duration = now - m_request.readAt;
     const std::string_view route = m_route ? std::string_view(m_route->name) : std::string_view("none");
-    m_state.metrics.noteRequest(route, status, reason, duration);
+    m_state.metrics.recordRequest(route, status, reason, duration);
     nlohmann::ordered_json fields{
         {"request_id", m_facts.id},
         {"route", route},
--- a/src/gateway_model_p.h
+++ b/src/gateway_model_p.h
@@ -11,7 +11,7 @@
 {
 
 /// What may be repeated of a request.
-enum class repeat_rule : std::uint8_t {
+enum class retry_rule : std::uint8_t {
     safe, ///< may run more than once
     at_most_once, ///< may run once
     stream, ///< an event stream; may run again only where the route is resumable
@@ -19,7 +19,7 @@
 };
 
 template <>
-struct enum_names<repeat_rule> {
+struct enum_names<retry_rule> {
     static constexpr std::array kNames{"safe", "at_most_once", "stream"};
 };
 
@@ -33,7 +33,7 @@
     std::string name;
     std::string host; ///< value of the Host header, without a port
     std::string pathPrefix; ///< begins and ends with a slash
-    repeat_rule repeats = repeat_rule::at_most_once;
+    retry_rule retryRule = retry_rule::at_most_once;
     bool isResumable = false; ///< a stream may go on at another replica after the last event
     bool isPublic = false; ///< needs no key
     std::chrono::milliseconds timeout{}; ///< longest time until the final answer
@@ -43,9 +43,9 @@
     std::vector<std::string> models; ///< smallest first; empty: the caller names the model
     std::vector<route_target> targets; ///< at least one
 
-    [[nodiscard]] bool mayRepeat() const
+    [[nodiscard]] bool mayRetry() const
     {
-        return repeats == repeat_rule::safe || (repeats == repeat_rule::stream && isResumable);
+        return retryRule == retry_rule::safe || (retryRule == retry_rule::stream && isResumable);
     }
 };
 
--- a/src/gateway_task.cpp
+++ b/src/gateway_task.cpp
@@ -132,7 +132,7 @@
 
 void gateway_task::noteRejected(int status, std::string_view reason)
 {
-    m_metrics.noteRequest("none", status, reason, std::chrono::microseconds{0});
+    m_metrics.recordRequest("none", status, reason, std::chrono::microseconds{0});
     m_log.write("request_rejected", {{"status", status}, {"reason", reason}}, log_subject::request);
 }
 
@@ -169,7 +169,7 @@
                  {"version", replica.version},
                  {"draining", replica.isDraining},
                  {"address", replica.address.address + ':' + std::to_string(replica.address.port)}});
-    m_registry.change(std::move(replica));
+    m_registry.upsert(std::move(replica));
     applyReplicas();
 }
 
@@ -200,7 +200,7 @@
 
 void gateway_task::onFeedReachable(bool isReachable)
 {
-    m_registry.noteReachable(isReachable, suspendAwareNow());
+    m_registry.setStoreReachable(isReachable, suspendAwareNow());
 }
 
 void gateway_task::onFeedNote(std::string_view type, const std::string &subject, const std::string &detail)
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -87,7 +87,7 @@
     entry.failures += static_cast<double>(counts.missed);
 }
 
-void cascade_policy::learn(std::string_view kind, std::string_view version, bool metTarget)
+void cascade_policy::recordRating(std::string_view kind, std::string_view version, bool metTarget)
 {
     const estimate_counts one{std::string(kind), std::string(version), metTarget ? 1U : 0U, metTarget ? 0U : 1U};
     update(one);
@@ -96,7 +96,7 @@
     pending.missed += one.missed;
 }
 
-void cascade_policy::learnFromOthers(const std::vector<estimate_counts> &counts)
+void cascade_policy::mergeRemoteCounts(const std::vector<estimate_counts> &counts)
 {
     std::ranges::for_each(counts, [this](const estimate_counts &entry) { update(entry); });
 }
--- a/src/policy_p.h
+++ b/src/policy_p.h
@@ -43,11 +43,11 @@
 {
 public:
     /// Takes one rated answer into account.
-    void learn(std::string_view kind, std::string_view version, bool metTarget);
+    void recordRating(std::string_view kind, std::string_view version, bool metTarget);
 
     /// Takes answers that other hosts had rated into account; they are not in the deltas of this host.
     /// @param counts new answers only, not sums.
-    void learnFromOthers(const std::vector<estimate_counts> &counts);
+    void mergeRemoteCounts(const std::vector<estimate_counts> &counts);
 
     /// @returns local counts since the last call, to be shared.
     [[nodiscard]] std::vector<estimate_counts> takeDeltas();
--- a/src/ports_p.h
+++ b/src/ports_p.h
@@ -58,7 +58,7 @@
     virtual void share(const share_quarantine &entry) = 0;
 
     /// Counts a request for the demand of its client account.
-    virtual void noteRequest(const std::string &apiKey) = 0;
+    virtual void recordRequest(const std::string &apiKey) = 0;
 };
 
 } // namespace foxtaildyke
--- a/src/quarantine.cpp
+++ b/src/quarantine.cpp
@@ -24,7 +24,7 @@
     return m_entries[fingerprint];
 }
 
-bool quarantine::noteCrash(std::uint64_t fingerprint, const tuning &tune, instant now)
+bool quarantine::recordCrash(std::uint64_t fingerprint, const tuning &tune, instant now)
 {
     auto &entry = entryOf(fingerprint, now);
     if (now >= entry.expiresAt)
--- a/src/quarantine_p.h
+++ b/src/quarantine_p.h
@@ -20,7 +20,7 @@
 
     /// Counts a connection lost during a run.
     /// @returns whether the fingerprint is now blocked.
-    bool noteCrash(std::uint64_t fingerprint, const tuning &tune, instant now);
+    bool recordCrash(std::uint64_t fingerprint, const tuning &tune, instant now);
 
     /// Blocks a fingerprint that another host reported.
     void block(std::uint64_t fingerprint, const tuning &tune, instant now);
--- a/src/replica_registry.cpp
+++ b/src/replica_registry.cpp
@@ -9,7 +9,7 @@
 {
 }
 
-void replica_registry::noteReachable(bool isReachable, instant now)
+void replica_registry::setStoreReachable(bool isReachable, instant now)
 {
     if (isReachable && !m_isReachable)
         m_backSince = now;
@@ -35,7 +35,7 @@
     m_entries = std::move(next);
 }
 
-void replica_registry::change(replica_entry entry)
+void replica_registry::upsert(replica_entry entry)
 {
     const auto id = entry.id;
     m_entries.insert_or_assign(id, known_entry{std::move(entry), std::nullopt});
--- a/src/replica_registry_p.h
+++ b/src/replica_registry_p.h
@@ -13,9 +13,9 @@
     /// @param lapseGrace time after the store's return for which a missing entry holds.
     explicit replica_registry(std::chrono::milliseconds lapseGrace);
 
-    void noteReachable(bool isReachable, instant now);
+    void setStoreReachable(bool isReachable, instant now);
     void replaceAll(std::vector<replica_entry> entries, instant now);
-    void change(replica_entry entry);
+    void upsert(replica_entry entry);
     void remove(const std::string &id, instant now);
 
     /// Drops entries whose grace has ended. @returns whether any did.
--- a/src/retry_budget.cpp
+++ b/src/retry_budget.cpp
@@ -15,20 +15,20 @@
         times.pop_front();
 }
 
-void retry_budget::noteRequest(const std::string &service, instant now)
+void retry_budget::recordRequest(const std::string &service, instant now)
 {
     auto &entry = m_counts[service];
     forget(entry.requests, now);
     entry.requests.push_back(now);
 }
 
-bool retry_budget::takeRepeat(const std::string &service, repeat_reason reason, instant now)
+bool retry_budget::tryConsumeRetry(const std::string &service, retry_reason reason, instant now)
 {
     auto &entry = m_counts[service];
     forget(entry.requests, now);
     forget(entry.repeats, now);
-    const double share = reason == repeat_reason::escalation ? kEscalationShare : 1.0;
-    const double slack = reason == repeat_reason::escalation ? 0.0 : m_limits.slack / static_cast<double>(m_hosts);
+    const double share = reason == retry_reason::escalation ? kEscalationShare : 1.0;
+    const double slack = reason == retry_reason::escalation ? 0.0 : m_limits.slack / static_cast<double>(m_hosts);
     const double allowed = m_limits.ratio * kSafeShare * share * static_cast<double>(entry.requests.size()) + slack;
     if (static_cast<double>(entry.repeats.size()) + 1 > allowed)
         return false;
--- a/src/retry_budget_p.h
+++ b/src/retry_budget_p.h
@@ -18,7 +18,7 @@
 };
 
 /// What a repeat is for. Escalations leave part of the budget to failures.
-enum class repeat_reason : std::uint8_t { failure, escalation, count };
+enum class retry_reason : std::uint8_t { failure, escalation, count };
 
 /// Share of one host. Each host spends in proportion to the requests that it took itself, so that the sum over all
 /// hosts keeps the bound without messages between them, whatever hosts come and go.
@@ -31,11 +31,11 @@
     void setHosts(std::size_t hosts) { m_hosts = std::max(kAssumedHosts, hosts); }
 
     /// Counts a request of a service, when it arrives.
-    void noteRequest(const std::string &service, instant now);
+    void recordRequest(const std::string &service, instant now);
 
     /// Counts a repeat if the budget allows it.
     /// @returns whether it may be sent.
-    [[nodiscard]] bool takeRepeat(const std::string &service, repeat_reason reason, instant now);
+    [[nodiscard]] bool tryConsumeRetry(const std::string &service, retry_reason reason, instant now);
 
     /// Part of the ratio that is spent: hosts count a window at slightly different times than the sum is taken.
     static constexpr double kSafeShare = 0.88;
--- a/src/rollout_policy.cpp
+++ b/src/rollout_policy.cpp
@@ -59,7 +59,7 @@
     return {order.target, {}};
 }
 
-void rollout_policy::noteAnswer(const version_answer &answer)
+void rollout_policy::recordResponse(const version_response &answer)
 {
     const auto found = m_trials.find(answer.service);
     const bool isOnTrial =
@@ -87,7 +87,7 @@
     return score >= kRejectScore;
 }
 
-void rollout_policy::judge(trial &target, const version_answer &answer)
+void rollout_policy::judge(trial &target, const version_response &answer)
 {
     const auto known = m_baselines.find(answer.stratum);
     const baseline base = known == m_baselines.end() ? baseline{} : known->second;
--- a/src/rollout_policy_p.h
+++ b/src/rollout_policy_p.h
@@ -19,7 +19,7 @@
 };
 
 /// What an answer says of the version that gave it.
-struct version_answer {
+struct version_response {
     std::string_view service;
     std::string_view version;
     std::string_view stratum; ///< population in which answers can be compared: route and model
@@ -40,7 +40,7 @@
     [[nodiscard]] version_choice choose(const std::string &service, std::uint64_t key) const;
 
     /// Takes an answer into account; of all services, so that there is a baseline when an order comes.
-    void noteAnswer(const version_answer &answer);
+    void recordResponse(const version_response &answer);
 
     /// @returns the state to record next for a service, or nothing. Ask about once a second.
     [[nodiscard]] std::optional<rollout_order> nextState(instant now);
@@ -77,7 +77,7 @@
         std::set<std::string, std::less<>> answeringReplicas;
         bool isRejected = false;
     };
-    void judge(trial &target, const version_answer &answer);
+    void judge(trial &target, const version_response &answer);
     /// @returns whether the score has reached the threshold.
     [[nodiscard]] static bool addEvidence(double &score, bool isBad, double goodRate);
 
--- a/src/router_core.cpp
+++ b/src/router_core.cpp
@@ -50,7 +50,7 @@
 
 void router_core::learnEstimates(const std::vector<estimate_counts> &counts)
 {
-    m_impl->m_policy.learnFromOthers(counts);
+    m_impl->m_policy.mergeRemoteCounts(counts);
     ++m_impl->m_epoch;
 }
 
@@ -143,7 +143,7 @@
 
 void router_core::implementation::on(const estimates_update &input)
 {
-    m_policy.learnFromOthers(input.counts);
+    m_policy.mergeRemoteCounts(input.counts);
 }
 
 void router_core::implementation::on(const quarantine_update &input)
--- a/src/router_core_attempts.cpp
+++ b/src/router_core_attempts.cpp
@@ -115,7 +115,7 @@
     request->avoidUpstream = attempt.upstream;
     auto reason = reasonOf(failure);
     if (failure == attempt_failure::connection_lost
-        && m_quarantine.noteCrash(request->fingerprint, m_config->tune, m_now)) {
+        && m_quarantine.recordCrash(request->fingerprint, m_config->tune, m_now)) {
         record("quarantined", *request, "connections lost on two upstreams");
         m_actions.emplace_back(share_quarantine{request->fingerprint});
         reason = reason_code::quarantined;
@@ -147,8 +147,8 @@
 {
     const auto found = m_attempts.find(*request.attempt);
     const auto duration = std::chrono::duration_cast<std::chrono::milliseconds>(m_now - found->second.startedAt);
-    m_balancer.noteEnd(found->second.upstream, failure, m_now);
-    m_admission.noteEnd(found->second.service, request.priority, duration);
+    m_balancer.recordEnd(found->second.upstream, failure, m_now);
+    m_admission.recordEnd(found->second.service, request.priority, duration);
     const auto running = m_running.find(request.fingerprint);
     if (--running->second == 0)
         m_running.erase(running);
--- a/src/router_core_dispatch.cpp
+++ b/src/router_core_dispatch.cpp
@@ -324,8 +324,8 @@
     m_admission.remove(request.input.request);
     if (request.attempts++ == 0)
         m_admission.noteFirstAttempt();
-    m_balancer.noteStart(upstream.name);
-    m_admission.noteStart(upstream.service, request.priority);
+    m_balancer.recordStart(upstream.name);
+    m_admission.recordStart(upstream.service, request.priority);
     m_evidence.noteDispatch(version.name);
     m_evidenceChanged = true;
     ++m_running[request.fingerprint];
--- a/src/store_ports_p.h
+++ b/src/store_ports_p.h
@@ -65,7 +65,7 @@
     void share(const share_estimates &) override { }
     void share(const share_halt &) override { }
     void share(const share_quarantine &) override { }
-    void noteRequest(const std::string &) override { }
+    void recordRequest(const std::string &) override { }
 };
 
 } // namespace foxtaildyke
--- a/tests/gateway_harness.cpp
+++ b/tests/gateway_harness.cpp
@@ -22,14 +22,14 @@
     return {kLoopback, 0};
 }
 
-gateway_route makeRoute(const std::string &prefix, repeat_rule repeats, std::uint32_t attempts)
+gateway_route makeRoute(const std::string &prefix, retry_rule retryRule, std::uint32_t attempts)
 {
     gateway_route route;
     route.name = prefix;
     route.host = "h.example";
     route.pathPrefix = prefix;
-    route.repeats = repeats;
-    route.isResumable = repeats == repeat_rule::stream;
+    route.retryRule = retryRule;
+    route.isResumable = retryRule == retry_rule::stream;
     route.timeout = std::chrono::milliseconds{1000};
     route.objective = std::chrono::milliseconds{500};
     route.maxAttempts = attempts;
@@ -233,8 +233,8 @@
 {
     auto config = std::make_shared<gateway_config>();
     config->version = version;
-    config->routes = {makeRoute("/safe/", repeat_rule::safe, 2), makeRoute("/once/", repeat_rule::at_most_once, 2),
-                      makeRoute("/stream/", repeat_rule::stream, 3), makeRoute("/sized/", repeat_rule::stream, 3)};
+    config->routes = {makeRoute("/safe/", retry_rule::safe, 2), makeRoute("/once/", retry_rule::at_most_once, 2),
+                      makeRoute("/stream/", retry_rule::stream, 3), makeRoute("/sized/", retry_rule::stream, 3)};
     config->routes.back().models = {"small", "medium", "large"};
     config->services["s"].name = "s";
     config->accountsByKey["key-1"] = {"account-1", std::nullopt};
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -146,9 +146,9 @@
     admission queue;
     CHECK(queue.startEstimate("a", request_class::batch, "pool") == 0ms);
     for (int i = 0; i < 8; ++i)
-        queue.noteStart("pool", request_class::batch);
-    queue.noteEnd("pool", request_class::batch, 1000ms);
-    queue.noteStart("pool", request_class::batch);
+        queue.recordStart("pool", request_class::batch);
+    queue.recordEnd("pool", request_class::batch, 1000ms);
+    queue.recordStart("pool", request_class::batch);
     CHECK(queue.startEstimate("a", request_class::batch, "pool") == 0ms);
     for (std::uint64_t i = 0; i < 16; ++i)
         queue.enqueue(token(i), "a", 1, request_class::batch, "pool");
@@ -158,8 +158,8 @@
     CHECK(queue.startEstimate("b", request_class::batch, "pool") < 500ms);
     // Short lookups in the same pool must not make the drafts ahead look short.
     for (int i = 0; i < 50; ++i) {
-        queue.noteStart("pool", request_class::interactive);
-        queue.noteEnd("pool", request_class::interactive, 10ms);
+        queue.recordStart("pool", request_class::interactive);
+        queue.recordEnd("pool", request_class::interactive, 10ms);
     }
     CHECK(queue.startEstimate("a", request_class::batch, "pool") == 2000ms);
 }
--- a/tests/test_balancer.cpp
+++ b/tests/test_balancer.cpp
@@ -41,7 +41,7 @@
     for (int i = 0; i < 45; ++i) {
         const auto name = pickName(choice, kAny);
         REQUIRE_FALSE(name.empty());
-        choice.noteStart(name);
+        choice.recordStart(name);
         ++started[name];
     }
     CHECK(started.size() == 9);
@@ -54,7 +54,7 @@
     balancer choice("a", 1);
     choice.setUpstreams(replicas(1, 4));
     for (int i = 0; i < 3; ++i)
-        choice.noteStart("r0");
+        choice.recordStart("r0");
     choice.report("r0", 3, 0, 4, 1s);
     CHECK(pickName(choice, {.service = "pool", .version = "v1", .priority = request_class::interactive}, 1s) == "r0");
     choice.report("r0", 9, 0, 4, 2s);
@@ -77,7 +77,7 @@
     CHECK(names.size() == 1);
     const auto holder = *names.begin();
     for (int i = 0; i < 3; ++i)
-        choice.noteStart(holder);
+        choice.recordStart(holder);
     CHECK(pickName(choice, withPrefix) != holder);
 }
 
@@ -113,22 +113,22 @@
     balancer choice("a", 1);
     choice.setUpstreams(replicas(2));
     const auto fail = [&](std::string_view name, instant now) {
-        choice.noteStart(name);
-        choice.noteEnd(name, attempt_failure::connection_lost, now);
+        choice.recordStart(name);
+        choice.recordEnd(name, attempt_failure::connection_lost, now);
     };
     const pick_request notOther{.service = "pool", .version = "v1", .exclude = "r1"};
     for (int i = 0; i < 3; ++i)
         fail("r0", 1s);
     CHECK(pickName(choice, notOther, 2s).empty());
     CHECK(pickName(choice, notOther, 7s) == "r0");
-    choice.noteStart("r0");
+    choice.recordStart("r0");
     CHECK(pickName(choice, notOther, 7s).empty());
-    choice.noteEnd("r0", attempt_failure::timed_out, 8s);
+    choice.recordEnd("r0", attempt_failure::timed_out, 8s);
     CHECK(pickName(choice, notOther, 14s).empty());
     CHECK(pickName(choice, notOther, 19s) == "r0");
-    choice.noteStart("r0");
-    choice.noteEnd("r0", std::nullopt, 20s);
-    choice.noteStart("r0");
+    choice.recordStart("r0");
+    choice.recordEnd("r0", std::nullopt, 20s);
+    choice.recordStart("r0");
     CHECK(pickName(choice, notOther, 20s) == "r0");
 }
 
@@ -139,8 +139,8 @@
     choice.setUpstreams(replicas(2));
     for (int i = 0; i < 10; ++i) {
         for (const std::string_view name : {"r0", "r1"}) {
-            choice.noteStart(name);
-            choice.noteEnd(name, attempt_failure::timed_out, 1s);
+            choice.recordStart(name);
+            choice.recordEnd(name, attempt_failure::timed_out, 1s);
         }
     }
     CHECK(choice.isServed("pool", "v1", 2s));
@@ -160,7 +160,7 @@
         int taken = 0;
         for (auto name = pickName(choice, draft, now); !name.empty() && taken < 20;
              name = pickName(choice, draft, now)) {
-            choice.noteStart(name);
+            choice.recordStart(name);
             ++taken;
         }
         return taken;
@@ -176,12 +176,12 @@
     balancer choice("a", 1);
     choice.setUpstreams(replicas(1));
     for (int i = 0; i < 5; ++i) {
-        choice.noteStart("r0");
-        choice.noteEnd("r0", attempt_failure::rejected, 1s);
+        choice.recordStart("r0");
+        choice.recordEnd("r0", attempt_failure::rejected, 1s);
     }
     CHECK(pickName(choice, kAny, 1s) == "r0");
-    choice.noteStart("r0");
-    choice.noteEnd("r0", attempt_failure::overloaded, 1s);
+    choice.recordStart("r0");
+    choice.recordEnd("r0", attempt_failure::overloaded, 1s);
     CHECK(pickName(choice, kAny, 1s).empty());
     CHECK(choice.isServed("pool", "v1", 1s));
 }
@@ -196,7 +196,7 @@
         const auto name = pickName(choice, {.service = "pool", .version = "v1", .priority = request_class::batch});
         if (name.empty())
             break;
-        choice.noteStart(name);
+        choice.recordStart(name);
     }
     CHECK(drafts == 8);
     CHECK_FALSE(pickName(choice, {.service = "pool", .version = "v1", .priority = request_class::interactive}).empty());
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -30,7 +30,7 @@
         };
     }
 
-    void noteRequest(const caller_request &request) { m_requests[request.request] = request; }
+    void recordRequest(const caller_request &request) { m_requests[request.request] = request; }
     /// Checks what can only be told at the end.
     void finish();
     [[nodiscard]] const std::vector<std::string> &broken() const { return m_broken; }
@@ -42,7 +42,7 @@
     };
     void noteInput(const core_input &input);
     void noteRan(attempt_token attempt);
-    void noteEnd(attempt_token attempt);
+    void recordEnd(attempt_token attempt);
     void noteFailure(const attempt_failed &failed);
     [[nodiscard]] std::string fingerprint(request_token request)
     {
@@ -84,7 +84,7 @@
     else if (const auto *chunk = std::get_if<attempt_chunk>(&input))
         noteRan(chunk->attempt);
     else if (const auto *done = std::get_if<attempt_done>(&input))
-        noteEnd(done->attempt);
+        recordEnd(done->attempt);
     else if (const auto *failed = std::get_if<attempt_failed>(&input))
         noteFailure(*failed);
 }
@@ -95,7 +95,7 @@
         m_ran.insert(attempt);
 }
 
-void rule_checker::noteEnd(attempt_token attempt)
+void rule_checker::recordEnd(attempt_token attempt)
 {
     noteRan(attempt);
     m_open.erase(attempt);
@@ -319,7 +319,7 @@
             if (chance(20))
                 request.deadline = milliseconds{100 + below(2000)};
             request.stream = chance(50);
-            m_checker.noteRequest(request);
+            m_checker.recordRequest(request);
         });
         if (chance(15))
             m_simulation.at(time + milliseconds{below(800)}, caller_gone{token});
--- a/tests/test_policy.cpp
+++ b/tests/test_policy.cpp
@@ -28,7 +28,7 @@
 void learnMany(cascade_policy &policy, std::string_view version, int met, int missed)
 {
     for (int i = 0; i < met + missed; ++i)
-        policy.learn("page-tag", version, i * met / (met + missed) != (i + 1) * met / (met + missed));
+        policy.recordRating("page-tag", version, i * met / (met + missed) != (i + 1) * met / (met + missed));
 }
 
 /// @returns how many of 1000 decisions start with the cheap model.
@@ -104,7 +104,7 @@
     int cheapAtEnd = 0;
     for (std::uint64_t i = 1; i <= 20000; ++i) {
         const bool cheap = policy.choose(config, kKind, kCandidates, 10s, true, i).start == 0;
-        policy.learn("page-tag", cheap ? "cheap-1" : "strong-1", true);
+        policy.recordRating("page-tag", cheap ? "cheap-1" : "strong-1", true);
         cheapAtEnd += cheap && i >= 19000 ? 1 : 0;
     }
     CHECK(cheapAtEnd >= 900);
@@ -115,7 +115,7 @@
     cascade_policy one;
     cascade_policy two;
     learnMany(one, "cheap-1", 30, 10);
-    two.learnFromOthers(one.takeDeltas());
+    two.mergeRemoteCounts(one.takeDeltas());
     CHECK(one.takeDeltas().empty());
     CHECK(two.takeDeltas().empty());
     CHECK(two.estimate("page-tag", "cheap-1").mean()
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -11,12 +11,12 @@
     quarantine entries;
     const tuning tune{.quarantineLifetime = 600s};
     const auto print = fingerprintOf("a", "page-tag", "poison");
-    CHECK_FALSE(entries.noteCrash(print, tune, 0s));
+    CHECK_FALSE(entries.recordCrash(print, tune, 0s));
     CHECK_FALSE(entries.isBlocked(print, 1s));
-    CHECK(entries.noteCrash(print, tune, 10s));
+    CHECK(entries.recordCrash(print, tune, 10s));
     CHECK(entries.isBlocked(print, 609s));
     CHECK_FALSE(entries.isBlocked(print, 610s));
-    CHECK_MESSAGE(!entries.noteCrash(print, tune, 700s), "an expired entry starts anew");
+    CHECK_MESSAGE(!entries.recordCrash(print, tune, 700s), "an expired entry starts anew");
 }
 
 TEST_CASE("a fingerprint that another host blocked stays blocked for its longest lifetime")
--- a/tools/load_simulation.h
+++ b/tools/load_simulation.h
@@ -107,7 +107,7 @@
     void scheduleRelay();
     void runRelay();
     void noteHalt(std::size_t hostIndex, const std::string &version);
-    void noteAnswer(const open_attempt &attempt);
+    void recordResponse(const open_attempt &attempt);
 
     experiment m_settings;
     std::uint64_t m_seed;
--- a/tools/load_simulation_ports.cpp
+++ b/tools/load_simulation_ports.cpp
@@ -94,14 +94,14 @@
     const auto &planned = m_requests[entry.request];
     const auto &source = m_settings.workloads[planned.workload];
     entry.verdicts[attempt.version] = meetsTarget(planned, attempt.version);
-    noteAnswer(attempt);
+    recordResponse(attempt);
     m_unrated[key] = attempt.version;
     feed(key.first,
          attempt_done{
              .attempt = key.second, .promptTokens = source.promptTokens, .completionTokens = source.completionTokens});
 }
 
-void simulation::noteAnswer(const open_attempt &attempt)
+void simulation::recordResponse(const open_attempt &attempt)
 {
     const auto found = m_incidents.find(attempt.version);
     if (found == m_incidents.end() || found->second.badAtSeconds < 0 || found->second.haltedAtSeconds >= 0)
