--- a/src/router_core_attempts.cpp
+++ b/src/router_core_attempts.cpp
@@ -115,7 +115,7 @@
     request->avoidUpstream = attempt.upstream;
     auto reason = reasonOf(failure);
     if (failure == attempt_failure::connection_lost
-        && m_quarantine.noteCrash(request->fingerprint, m_config->tune, m_now)) {
+        && m_quarantine.recordCrash(request->fingerprint, m_config->tune, m_now)) {
         record("quarantined", *request, "connections lost on two upstreams");
         m_actions.emplace_back(share_quarantine{request->fingerprint});
         reason = reason_code::quarantined;
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -30,7 +30,7 @@
         };
     }
 
-    void noteRequest(const caller_request &request) { m_requests[request.request] = request; }
+    void recordRequest(const caller_request &request) { m_requests[request.request] = request; }
     /// Checks what can only be told at the end.
     void finish();
     [[nodiscard]] const std::vector<std::string> &broken() const { return m_broken; }
@@ -319,7 +319,7 @@
             if (chance(20))
                 request.deadline = milliseconds{100 + below(2000)};
             request.stream = chance(50);
-            m_checker.noteRequest(request);
+            m_checker.recordRequest(request);
         });
         if (chance(15))
             m_simulation.at(time + milliseconds{below(800)}, caller_gone{token});
