--- a/cmake/core.cmake
+++ b/cmake/core.cmake
@@ -24,7 +24,7 @@
     src/relay_shared.cpp
     src/rollout.cpp
     src/router_core.cpp
-    src/router_core_answers.cpp
+    src/router_core_completion.cpp
     src/router_core_attempts.cpp
     src/router_core_dispatch.cpp
     src/router_core_intake.cpp
--- a/src/caller_protocol.cpp
+++ b/src/caller_protocol.cpp
@@ -159,8 +159,8 @@
     auto body = answerObject(answer);
     if (answer.outcome == outcome_kind::complete && withText)
         body["text"] = text;
-    if (!answer.storedAnswer.empty()) {
-        const auto stored = ordered_json::parse(answer.storedAnswer, nullptr, false);
+    if (!answer.storedResponse.empty()) {
+        const auto stored = ordered_json::parse(answer.storedResponse, nullptr, false);
         if (stored.is_object())
             body.update(stored);
         body["repeated"] = true;
--- a/src/evidence.cpp
+++ b/src/evidence.cpp
@@ -104,12 +104,12 @@
 }
 
 void evidence_table::setTotals(const std::vector<version_evidence> &totals, instant now,
-                               const std::vector<version_evidence> &ownPart)
+                               const std::vector<version_evidence> &ownContribution)
 {
     m_totalsAt = now;
     for (const auto &total : totals) {
         auto &entry = m_counts[total.version];
-        const auto *own = findIn(ownPart, total.version);
+        const auto *own = findIn(ownContribution, total.version);
         const auto next = own != nullptr ? less(total, *own) : total;
         add(entry, {grownBy(next.passed, entry.others.passed), grownBy(next.failed, entry.others.failed)});
         entry.others = next;
--- a/src/evidence_p.h
+++ b/src/evidence_p.h
@@ -38,9 +38,10 @@
 
     /// Replaces the counts of the other hosts by the totals of the relay.
     /// @param totals sums since the version's first answer; a sum that shrinks (relay restarted) is a new start.
-    /// @param ownPart what `totals` holds of this host's deltas; empty where it holds only other hosts' results.
+    /// @param ownContribution what `totals` holds of this host's deltas; empty where it holds only other hosts'
+    /// results.
     void setTotals(const std::vector<version_evidence> &totals, instant now,
-                   const std::vector<version_evidence> &ownPart = {});
+                   const std::vector<version_evidence> &ownContribution = {});
 
     /// @returns local counts since the last call, to be shared.
     [[nodiscard]] std::vector<version_evidence> takeDeltas();
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -50,7 +50,7 @@
     m_deadline = m_request.readAt + wait;
     m_timer.start(left());
     chooseService();
-    m_state.budget.noteRequest(m_service, m_request.readAt);
+    m_state.budget.recordRequest(m_service, m_request.readAt);
     if (!m_route->models.empty()) {
         ladder_step step;
         step.models = m_route->models.size();
@@ -243,7 +243,7 @@
     const auto now = suspendAwareNow();
     const auto duration = now - m_request.readAt;
     const std::string_view route = m_route ? std::string_view(m_route->name) : std::string_view("none");
-    m_state.metrics.noteRequest(route, status, reason, duration);
+    m_state.metrics.recordRequest(route, status, reason, duration);
     nlohmann::ordered_json fields{
         {"request_id", m_facts.id},
         {"route", route},
--- a/src/gateway_metrics.cpp
+++ b/src/gateway_metrics.cpp
@@ -68,8 +68,8 @@
 
 gateway_metrics::~gateway_metrics() = default;
 
-void gateway_metrics::noteRequest(std::string_view route, int status, std::string_view reason,
-                                  std::chrono::microseconds duration)
+void gateway_metrics::recordRequest(std::string_view route, int status, std::string_view reason,
+                                    std::chrono::microseconds duration)
 {
     const std::string name(route);
     m_impl->requests.Add({{"route", name}, {"status", std::to_string(status)}, {"reason", std::string(reason)}})
--- a/src/gateway_metrics_p.h
+++ b/src/gateway_metrics_p.h
@@ -16,7 +16,7 @@
     ~gateway_metrics();
 
     /// Counts a finished request. @param duration from its arrival.
-    void noteRequest(std::string_view route, int status, std::string_view reason, std::chrono::microseconds duration);
+    void recordRequest(std::string_view route, int status, std::string_view reason, std::chrono::microseconds duration);
 
     /// Takes the time from a request's arrival to the first event of its stream.
     void noteFirstEvent(std::string_view route, std::chrono::microseconds duration);
--- a/src/gateway_task.cpp
+++ b/src/gateway_task.cpp
@@ -132,7 +132,7 @@
 
 void gateway_task::noteRejected(int status, std::string_view reason)
 {
-    m_metrics.noteRequest("none", status, reason, std::chrono::microseconds{0});
+    m_metrics.recordRequest("none", status, reason, std::chrono::microseconds{0});
     m_log.write("request_rejected", {{"status", status}, {"reason", reason}}, log_subject::request);
 }
 
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -76,7 +76,7 @@
 
 metrics::~metrics() = default;
 
-void metrics::noteRequest(outcome_kind outcome, reason_code reason, std::chrono::microseconds duration)
+void metrics::recordRequest(outcome_kind outcome, reason_code reason, std::chrono::microseconds duration)
 {
     const prometheus::Labels labels{{"outcome", std::string(nameOf(outcome))}, {"reason", std::string(nameOf(reason))}};
     m_impl->requests.Add(labels).Increment();
--- a/src/metrics_p.h
+++ b/src/metrics_p.h
@@ -18,7 +18,7 @@
 
     /// Counts a finished request.
     /// @param duration from arrival to the final answer.
-    void noteRequest(outcome_kind outcome, reason_code reason, std::chrono::microseconds duration);
+    void recordRequest(outcome_kind outcome, reason_code reason, std::chrono::microseconds duration);
 
     /// Takes the time from arrival to the first part of a streamed answer.
     void noteFirstToken(std::chrono::microseconds duration);
--- a/src/ports_p.h
+++ b/src/ports_p.h
@@ -29,7 +29,7 @@
     virtual void onDrain() { }
 };
 
-/// Writes claims, pins and bills. Each is answered by exactly one ledger_reply to the sink.
+/// Writes claims, pins and bills. Each is answered by exactly one ledger_response to the sink.
 class ledger_port : public port_events
 {
 public:
@@ -58,7 +58,7 @@
     virtual void share(const share_quarantine &entry) = 0;
 
     /// Counts a request for the demand of its client account.
-    virtual void noteRequest(const std::string &apiKey) = 0;
+    virtual void recordRequest(const std::string &apiKey) = 0;
 };
 
 } // namespace foxtaildyke
--- a/src/relay_ledger.cpp
+++ b/src/relay_ledger.cpp
@@ -86,11 +86,11 @@
     ++m_open;
     return [this, request, step](append_reply reply) {
         --m_open;
-        m_deliver(ledger_reply{.request = request,
-                               .step = step,
-                               .status = reply.status,
-                               .answer = std::move(reply.answer),
-                               .pins = std::move(reply.pins)});
+        m_deliver(ledger_response{.request = request,
+                                  .step = step,
+                                  .status = reply.status,
+                                  .answer = std::move(reply.answer),
+                                  .pins = std::move(reply.pins)});
     };
 }
 
--- a/src/relay_task_core.cpp
+++ b/src/relay_task_core.cpp
@@ -47,7 +47,7 @@
     m_loop.post([this] { drive(); });
 }
 
-void relay_task::noteRequest(const std::string &apiKey)
+void relay_task::recordRequest(const std::string &apiKey)
 {
     if (!m_config.view())
         return;
--- a/src/relay_task_p.h
+++ b/src/relay_task_p.h
@@ -40,7 +40,7 @@
     void share(const share_estimates &estimates);
     void share(const share_halt &halt);
     void share(const share_quarantine &entry);
-    void noteRequest(const std::string &apiKey);
+    void recordRequest(const std::string &apiKey);
 
     [[nodiscard]] peer_client &peers() { return m_peers; }
     [[nodiscard]] const config_holder &config() const { return m_config; }
@@ -138,7 +138,7 @@
     void share(const share_estimates &estimates) override { m_task->share(estimates); }
     void share(const share_halt &halt) override { m_task->share(halt); }
     void share(const share_quarantine &entry) override { m_task->share(entry); }
-    void noteRequest(const std::string &apiKey) override { m_task->noteRequest(apiKey); }
+    void recordRequest(const std::string &apiKey) override { m_task->recordRequest(apiKey); }
 
 private:
     std::shared_ptr<relay_task> m_task;
--- a/src/router_core.cpp
+++ b/src/router_core.cpp
@@ -130,7 +130,7 @@
 
 void router_core::implementation::on(const evidence_update &input)
 {
-    m_evidence.setTotals(input.totals, m_now, input.ownPart);
+    m_evidence.setTotals(input.totals, m_now, input.ownContribution);
     ++m_epoch;
     for (const auto &version : input.haltedVersions) {
         if (m_halted.insert(version).second)
--- a/src/router_core_attempts.cpp
+++ b/src/router_core_attempts.cpp
@@ -13,7 +13,7 @@
     << 20; ///< an upstream that ignores max_tokens must not fill the memory
 constexpr double kSmoothing = 0.2; ///< weight of the newest value in a smoothed one
 
-std::uint64_t costOf(const attempt_answer &answer)
+std::uint64_t costOf(const attempt_response &answer)
 {
     constexpr std::uint64_t kTokensPerPrice = 1000;
     const std::uint64_t cost = std::uint64_t{answer.promptTokens} * answer.promptMicroUnitsPer1k
@@ -217,8 +217,8 @@
 {
     if (m_now > request.deadline) // Longer than the kind's deadline would refuse all later requests of the kind.
         return;
-    const answer_size size{std::chrono::duration<double, std::milli>(m_now - attempt.startedAt).count(),
-                           static_cast<double>(request.answer.completionTokens)};
+    const response_stats size{std::chrono::duration<double, std::milli>(m_now - attempt.startedAt).count(),
+                              static_cast<double>(request.answer.completionTokens)};
     const auto [entry, isNew] = m_answerSizes.try_emplace({request.input.kind, attempt.version}, size);
     if (isNew)
         return;
--- a/src/router_core_answers.cpp
+++ b/src/router_core_completion.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kStoredAnswerBytes = 2048; ///< most that the ledger keeps of an answer
 constexpr std::size_t kUnsentClaimsLimit = 1024; ///< bounds the memory of unsent claims
 
-std::string storedForm(const attempt_answer &answer, std::uint64_t costMicroUnits)
+std::string storedForm(const attempt_response &answer, std::uint64_t costMicroUnits)
 {
     const nlohmann::json body{{"text", answer.text},
                               {"model", answer.model},
@@ -29,11 +29,11 @@
 
 } // namespace
 
-void router_core::implementation::on(const ledger_reply &input)
+void router_core::implementation::on(const ledger_response &input)
 {
     struct expected_reply {
         request_phase phase;
-        void (implementation::*handler)(open_request &, const ledger_reply &);
+        void (implementation::*handler)(open_request &, const ledger_response &);
     };
     static constexpr std::array kReplies{expected_reply{request_phase::claiming, &implementation::onClaimReply},
                                          expected_reply{request_phase::billing, &implementation::onBillReply},
@@ -47,7 +47,7 @@
     pump();
 }
 
-void router_core::implementation::onPinReply(open_request &request, const ledger_reply &reply)
+void router_core::implementation::onPinReply(open_request &request, const ledger_response &reply)
 {
     if (reply.status != ledger_status::written && reply.status != ledger_status::exists_pinned)
         return fail(request, reason_code::store_unavailable);
@@ -58,7 +58,7 @@
     record("pinned", request, reply.status == ledger_status::written ? "first pin of the session" : "earlier pin");
 }
 
-void router_core::implementation::onClaimReply(open_request &request, const ledger_reply &reply)
+void router_core::implementation::onClaimReply(open_request &request, const ledger_response &reply)
 {
     const auto own = std::ranges::find(m_unsentClaims, std::pair(request.account, request.requestId));
     const bool isOwn = reply.status == ledger_status::exists_open && own != m_unsentClaims.end();
@@ -78,12 +78,12 @@
     if (reply.status == ledger_status::exists_billed && !reply.answer.empty()) {
         answer.outcome = outcome_kind::complete;
         answer.reason = reason_code::none;
-        answer.storedAnswer = reply.answer;
+        answer.storedResponse = reply.answer;
     }
     finish(request, std::move(answer));
 }
 
-void router_core::implementation::onBillReply(open_request &request, const ledger_reply &reply)
+void router_core::implementation::onBillReply(open_request &request, const ledger_response &reply)
 {
     const bool isBilled = reply.status == ledger_status::written || reply.status == ledger_status::copied
         || reply.status == ledger_status::exists_billed;
@@ -115,10 +115,10 @@
                                       .targetPermille = (*m_config)[kind].targetPermille,
                                       .givenUpAt = m_now + kRatingTimeout};
     m_actions.emplace_back(
-        ask_rating{request.input.request, request.lastAttempt, request.input.kind, request.answer.text});
+        request_rating{request.input.request, request.lastAttempt, request.input.kind, request.answer.text});
 }
 
-void router_core::implementation::on(const rating_reply &input)
+void router_core::implementation::on(const rating_response &input)
 {
     const auto found = m_ratings.find(input.attempt);
     if (found == m_ratings.end())
@@ -150,7 +150,7 @@
             expired.push_back(attempt);
     }
     for (const auto attempt : expired)
-        on(rating_reply{.attempt = attempt});
+        on(rating_response{.attempt = attempt});
 }
 
 void router_core::implementation::onRated(open_request &request, std::optional<std::uint32_t> score)
--- a/src/router_core_p.h
+++ b/src/router_core_p.h
@@ -68,7 +68,7 @@
                                        "copied",  "unavailable", "unknown"};
 };
 
-/// Which action a ledger_reply answers. Without it a pin's late or doubled reply could pass for a claim's.
+/// Which action a ledger_response answers. Without it a pin's late or doubled reply could pass for a claim's.
 enum class ledger_step : std::uint8_t { claim, bill, pin, count };
 
 template <>
@@ -76,16 +76,16 @@
     static constexpr std::array kNames{"claim", "bill", "pin"};
 };
 
-struct ledger_reply {
+struct ledger_response {
     request_token request{};
     ledger_step step = ledger_step::claim;
     ledger_status status = ledger_status::unavailable;
     std::string answer; ///< stored answer as JSON
     std::vector<std::string> pins; ///< version names
 };
-struct rating_reply {
+struct rating_response {
     request_token request{};
-    attempt_token attempt{}; ///< as in ask_rating
+    attempt_token attempt{}; ///< as in request_rating
     std::optional<std::uint32_t> scorePermille; ///< nothing: the rating service did not answer
 };
 struct config_changed {
@@ -109,7 +109,7 @@
 struct evidence_update {
     std::vector<version_evidence> totals;
     std::vector<std::string> haltedVersions;
-    std::vector<version_evidence> ownPart; ///< what `totals` holds of this host's deltas
+    std::vector<version_evidence> ownContribution; ///< what `totals` holds of this host's deltas
 };
 /// Rated answers of other hosts that are new since the last update, from the relay.
 struct estimates_update {
@@ -128,9 +128,9 @@
 };
 
 using core_input =
-    std::variant<caller_request, caller_gone, attempt_chunk, attempt_done, attempt_failed, ledger_reply, rating_reply,
-                 config_changed, lease_changed, upstreams_changed, load_report, evidence_update, estimates_update,
-                 quarantine_update, limit_shares, timer_tick, drain_request>;
+    std::variant<caller_request, caller_gone, attempt_chunk, attempt_done, attempt_failed, ledger_response,
+                 rating_response, config_changed, lease_changed, upstreams_changed, load_report, evidence_update,
+                 estimates_update, quarantine_update, limit_shares, timer_tick, drain_request>;
 
 // Actions.
 
@@ -171,7 +171,7 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t completionTokens = 0;
     std::uint64_t costMicroUnits = 0;
-    std::string storedAnswer; ///< JSON of an earlier run, where the ledger had it
+    std::string storedResponse; ///< JSON of an earlier run, where the ledger had it
 };
 struct write_claim {
     request_token request{};
@@ -196,7 +196,7 @@
     std::vector<std::string> versions; ///< proposed version names, one for each model that is open to the account
 };
 /// The request may already have its final answer; the reply is then used as evidence only.
-struct ask_rating {
+struct request_rating {
     request_token request{};
     attempt_token attempt{}; ///< whose answer is rated; a cascade rates several answers of one request
     std::string kind;
@@ -231,7 +231,7 @@
 
 using core_action =
     std::variant<start_attempt, cancel_attempt, send_chunk, finish_request, write_claim, write_bill, write_pin,
-                 ask_rating, share_evidence, share_estimates, share_halt, share_quarantine, record_event>;
+                 request_rating, share_evidence, share_estimates, share_halt, share_quarantine, record_event>;
 
 /// State machine over the requests in flight of one host.
 /// @remarks What a caller is told:
--- a/src/router_core_state_p.h
+++ b/src/router_core_state_p.h
@@ -29,7 +29,7 @@
 };
 
 /// Answer of one attempt.
-struct attempt_answer {
+struct attempt_response {
     std::string model;
     std::string version;
     std::uint32_t promptMicroUnitsPer1k = 0; ///< prices at the dispatch
@@ -73,9 +73,9 @@
     std::string waitsFor; ///< version that had no free slot at the last try, or empty
     std::uint64_t waitsSinceEpoch = 0; ///< m_epoch of that try
 
-    attempt_answer answer; ///< of the attempt in flight or just ended
+    attempt_response answer; ///< of the attempt in flight or just ended
     std::size_t deliveredBytes = 0; ///< part of answer.text that send_chunk has delivered
-    std::optional<attempt_answer> held; ///< best answer below the target, while a stronger model runs
+    std::optional<attempt_response> held; ///< best answer below the target, while a stronger model runs
     std::string aboveModel; ///< escalated: only models after this one in the cascade are candidates
     std::uint64_t costMicroUnits = 0; ///< of all attempts with a token count
 };
@@ -111,7 +111,7 @@
 };
 
 /// Smoothed measures of whole answers.
-struct answer_size {
+struct response_stats {
     double durationMs = 0;
     double completionTokens = 0;
 };
@@ -125,8 +125,8 @@
     void on(const attempt_chunk &input);
     void on(const attempt_done &input);
     void on(const attempt_failed &input);
-    void on(const ledger_reply &input);
-    void on(const rating_reply &input);
+    void on(const ledger_response &input);
+    void on(const rating_response &input);
     void on(const config_changed &input);
     void on(const lease_changed &input);
     void on(const upstreams_changed &input);
@@ -149,7 +149,7 @@
     // Dispatch: router_core_dispatch.cpp.
     [[nodiscard]] bool hasLease() const;
     /// @returns the smoothed measures of earlier answers, or nothing.
-    [[nodiscard]] const answer_size *sizeOf(const open_request &request, version_handle version) const;
+    [[nodiscard]] const response_stats *sizeOf(const open_request &request, version_handle version) const;
     [[nodiscard]] bool canEndInTime(const open_request &request, version_handle version, instant start) const;
     [[nodiscard]] bool isLeaseDue() const;
     void noteLease();
@@ -184,10 +184,10 @@
     void noteSize(const open_request &request, const open_attempt &attempt);
     void stopWithdrawn(open_request &request);
 
-    // Answers: router_core_answers.cpp.
-    void onPinReply(open_request &request, const ledger_reply &reply);
-    void onClaimReply(open_request &request, const ledger_reply &reply);
-    void onBillReply(open_request &request, const ledger_reply &reply);
+    // Answers: router_core_completion.cpp.
+    void onPinReply(open_request &request, const ledger_response &reply);
+    void onClaimReply(open_request &request, const ledger_response &reply);
+    void onBillReply(open_request &request, const ledger_response &reply);
     void askRating(const open_request &request);
     void onRated(open_request &request, std::optional<std::uint32_t> score);
     void escalate(open_request &request);
@@ -229,7 +229,7 @@
     quarantine m_quarantine;
     std::vector<upstream_info> m_upstreams;
     std::set<std::string, std::less<>> m_halted; ///< versions that evidence has halted, here or on another host
-    std::map<std::pair<std::string, std::string>, answer_size> m_answerSizes; ///< by names of kind and version
+    std::map<std::pair<std::string, std::string>, response_stats> m_answerSizes; ///< by names of kind and version
 
     /// Invariant: holds a request from its admission until its finish_request and, where an attempt runs on, its bill.
     std::unordered_map<request_token, std::unique_ptr<open_request>> m_requests;
--- a/src/router_task.cpp
+++ b/src/router_task.cpp
@@ -123,7 +123,7 @@
     else if (const auto *changed = std::get_if<config_changed>(&input))
         onConfig(changed->config);
     else if (const auto *request = std::get_if<caller_request>(&input))
-        m_ports.sharing->noteRequest(request->apiKey);
+        m_ports.sharing->recordRequest(request->apiKey);
 }
 
 void router_task::onConfig(const fleet_ptr &config)
@@ -171,7 +171,7 @@
 void router_task::perform(const finish_request &action)
 {
     if (const auto arrival = m_callers.arrivalOf(action.request))
-        m_metrics.noteRequest(action.outcome, action.reason, event_loop::now() - *arrival);
+        m_metrics.recordRequest(action.outcome, action.reason, event_loop::now() - *arrival);
     m_callers.finish(action);
 }
 
@@ -191,10 +191,10 @@
     m_ports.ledger->pin(action);
 }
 
-void router_task::perform(const ask_rating &action)
+void router_task::perform(const request_rating &action)
 {
     m_platform.rate(action.kind, action.text, [this, action](std::optional<std::uint32_t> score) {
-        deliver(rating_reply{action.request, action.attempt, score});
+        deliver(rating_response{action.request, action.attempt, score});
     });
 }
 
--- a/src/router_task_p.h
+++ b/src/router_task_p.h
@@ -69,7 +69,7 @@
     void perform(const write_claim &action);
     void perform(const write_bill &action);
     void perform(const write_pin &action);
-    void perform(const ask_rating &action);
+    void perform(const request_rating &action);
     void perform(const share_evidence &action);
     void perform(const share_estimates &action);
     void perform(const share_halt &action);
--- a/src/store_ports.cpp
+++ b/src/store_ports.cpp
@@ -90,7 +90,7 @@
 {
 }
 
-void store_ledger::reply(ledger_reply answer)
+void store_ledger::reply(ledger_response answer)
 {
     --m_open;
     m_deliver(std::move(answer));
--- a/src/store_ports_p.h
+++ b/src/store_ports_p.h
@@ -47,7 +47,7 @@
     [[nodiscard]] bool isIdle() const override { return m_open == 0; }
 
 private:
-    void reply(ledger_reply answer);
+    void reply(ledger_response answer);
     void readBill(request_token request, const std::string &key);
     void readPin(request_token request, const std::string &key);
 
@@ -65,7 +65,7 @@
     void share(const share_estimates &) override { }
     void share(const share_halt &) override { }
     void share(const share_quarantine &) override { }
-    void noteRequest(const std::string &) override { }
+    void recordRequest(const std::string &) override { }
 };
 
 } // namespace foxtaildyke
--- a/tests/core_simulation_p.h
+++ b/tests/core_simulation_p.h
@@ -35,9 +35,9 @@
     bool down = false;
     int billsAccepted = 0;
 
-    ledger_reply claim(const write_claim &action);
-    ledger_reply bill(const write_bill &action);
-    ledger_reply pin(const write_pin &action);
+    ledger_response claim(const write_claim &action);
+    ledger_response bill(const write_bill &action);
+    ledger_response pin(const write_pin &action);
 };
 
 class core_simulation
@@ -61,7 +61,7 @@
     /// Publishes a changed configuration with the next generation, and the lease for it.
     void configure(milliseconds time, std::function<void(fleet &)> change);
     /// Submits a request at a time. @returns its token.
-    request_token ask(milliseconds time, std::string kind, const std::function<void(caller_request &)> &change = {});
+    request_token submit(milliseconds time, std::string kind, const std::function<void(caller_request &)> &change = {});
 
     /// Handles everything up to a time, timers included.
     void run(milliseconds until);
@@ -70,7 +70,7 @@
     [[nodiscard]] instant now() const { return m_now; }
     [[nodiscard]] std::size_t openRequests() const { return m_core.openRequests(); }
     [[nodiscard]] const fleet &config() const { return m_config; }
-    [[nodiscard]] const std::vector<finish_request> &answers(request_token request) { return m_answers[request]; }
+    [[nodiscard]] const std::vector<finish_request> &responses(request_token request) { return m_responses[request]; }
 
     static constexpr std::int64_t kUnixStart = 1790000000; ///< wall clock at virtual time 0
 
@@ -93,7 +93,7 @@
     std::multimap<instant, step> m_queue; ///< equal times keep the order of insertion
     std::set<attempt_token> m_cancelled;
     std::map<attempt_token, std::string> m_versions;
-    std::map<request_token, std::vector<finish_request>> m_answers;
+    std::map<request_token, std::vector<finish_request>> m_responses;
     std::uint64_t m_lastRequest = 0;
     std::ostringstream m_transcript;
 };
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -30,7 +30,7 @@
         };
     }
 
-    void noteRequest(const caller_request &request) { m_requests[request.request] = request; }
+    void recordRequest(const caller_request &request) { m_requests[request.request] = request; }
     /// Checks what can only be told at the end.
     void finish();
     [[nodiscard]] const std::vector<std::string> &broken() const { return m_broken; }
@@ -176,7 +176,7 @@
     expect(++m_finishes[action.request] == 1, "one final answer", action.request);
     const bool notRun = action.outcome == outcome_kind::not_run || action.outcome == outcome_kind::invalid;
     expect(!notRun || sentAttempts(action.request) == 0, "not_run only if nothing was sent", action.request);
-    const bool isFresh = action.outcome == outcome_kind::complete && action.storedAnswer.empty();
+    const bool isFresh = action.outcome == outcome_kind::complete && action.storedResponse.empty();
     expect(!isFresh || m_bills[action.request] == 1, "bill before a whole answer", action.request);
 }
 
@@ -309,7 +309,7 @@
     const auto count = 20 + below(60);
     for (std::uint64_t i = 0; i < count; ++i) {
         const auto time = anyTime();
-        const auto token = m_simulation.ask(time, kKinds[below(kKinds.size())], [&](caller_request &request) {
+        const auto token = m_simulation.submit(time, kKinds[below(kKinds.size())], [&](caller_request &request) {
             if (chance(25))
                 request.requestId = "1790000000-shared" + std::to_string(below(4)) + request.kind;
             if (chance(30))
@@ -319,7 +319,7 @@
             if (chance(20))
                 request.deadline = milliseconds{100 + below(2000)};
             request.stream = chance(50);
-            m_checker.noteRequest(request);
+            m_checker.recordRequest(request);
         });
         if (chance(15))
             m_simulation.at(time + milliseconds{below(800)}, caller_gone{token});
--- a/tests/test_core_simulation.cpp
+++ b/tests/test_core_simulation.cpp
@@ -4,7 +4,7 @@
 namespace foxtaildyke::test
 {
 
-ledger_reply fake_ledger::claim(const write_claim &action)
+ledger_response fake_ledger::claim(const write_claim &action)
 {
     auto &record = entries[{action.account, action.requestId}];
     if (down)
@@ -15,7 +15,7 @@
     return {action.request, ledger_step::claim, isFirst ? ledger_status::written : ledger_status::exists_open};
 }
 
-ledger_reply fake_ledger::bill(const write_bill &action)
+ledger_response fake_ledger::bill(const write_bill &action)
 {
     auto &record = entries[{action.account, action.requestId}];
     if (record.billed)
@@ -26,7 +26,7 @@
     return {action.request, ledger_step::bill, down ? ledger_status::copied : ledger_status::written};
 }
 
-ledger_reply fake_ledger::pin(const write_pin &action)
+ledger_response fake_ledger::pin(const write_pin &action)
 {
     auto &record = entries[{action.account, "session " + action.sessionId}];
     if (down)
@@ -68,8 +68,8 @@
     });
 }
 
-request_token core_simulation::ask(milliseconds time, std::string kind,
-                                   const std::function<void(caller_request &)> &change)
+request_token core_simulation::submit(milliseconds time, std::string kind,
+                                      const std::function<void(caller_request &)> &change)
 {
     const request_token token{++m_lastRequest};
     const auto unixSeconds = kUnixStart + std::chrono::duration_cast<std::chrono::seconds>(time).count();
@@ -143,17 +143,17 @@
     else if (const auto *cancel = std::get_if<cancel_attempt>(&action))
         m_cancelled.insert(cancel->attempt);
     else if (const auto *finish = std::get_if<finish_request>(&action))
-        m_answers[finish->request].push_back(*finish);
+        m_responses[finish->request].push_back(*finish);
     else if (const auto *claim = std::get_if<write_claim>(&action))
         reply(ledgerDelay, ledger.claim(*claim));
     else if (const auto *bill = std::get_if<write_bill>(&action))
         reply(ledgerDelay, ledger.bill(*bill));
     else if (const auto *pin = std::get_if<write_pin>(&action))
         reply(ledgerDelay, ledger.pin(*pin));
-    else if (const auto *rate = std::get_if<ask_rating>(&action))
+    else if (const auto *rate = std::get_if<request_rating>(&action))
         reply(milliseconds{20},
-              rating_reply{rate->request, rate->attempt,
-                           rating ? rating(m_versions[rate->attempt]) : std::optional(950U)});
+              rating_response{rate->request, rate->attempt,
+                              rating ? rating(m_versions[rate->attempt]) : std::optional(950U)});
 }
 
 void core_simulation::reply(milliseconds delay, const core_input &input)
--- a/tests/test_event_log.cpp
+++ b/tests/test_event_log.cpp
@@ -55,8 +55,8 @@
 TEST_CASE("metrics are counted by outcome and written in the text format with units")
 {
     metrics stats;
-    stats.noteRequest(outcome_kind::complete, reason_code::none, std::chrono::milliseconds(20));
-    stats.noteRequest(outcome_kind::not_run, reason_code::draining, std::chrono::milliseconds(1));
+    stats.recordRequest(outcome_kind::complete, reason_code::none, std::chrono::milliseconds(20));
+    stats.recordRequest(outcome_kind::not_run, reason_code::draining, std::chrono::milliseconds(1));
     stats.noteAttempt("m-1", attempt_failure::truncated);
     stats.noteBill(10, 20, 300);
     const auto text = stats.text();
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -28,10 +28,10 @@
 void foxtaildyke::test::checkAnswer(core_simulation &simulation, request_token request, outcome_kind outcome,
                                     reason_code reason)
 {
-    const auto &answers = simulation.answers(request);
-    REQUIRE(answers.size() == 1);
-    CHECK(nameOf(answers.front().outcome) == nameOf(outcome));
-    CHECK(nameOf(answers.front().reason) == nameOf(reason));
+    const auto &responses = simulation.responses(request);
+    REQUIRE(responses.size() == 1);
+    CHECK(nameOf(responses.front().outcome) == nameOf(outcome));
+    CHECK(nameOf(responses.front().reason) == nameOf(reason));
 }
 
 TEST_CASE("golden session: appeal-draft survives a lost upstream")
@@ -43,7 +43,7 @@
             return failing(attempt_failure::connection_lost);
         return {.chunks = {"To the ", "agency"}};
     };
-    const auto draft = simulation.ask(10ms, "appeal-draft");
+    const auto draft = simulation.submit(10ms, "appeal-draft");
     simulation.run(5s);
     checkAnswer(simulation, draft, outcome_kind::complete);
     checkGolden("appeal-draft", simulation);
@@ -52,15 +52,15 @@
 TEST_CASE("golden session: docket-status runs once and a resend gets the stored answer")
 {
     core_simulation simulation(linShou(), linShouUpstreams());
-    const auto first = simulation.ask(10ms, "docket-status");
-    const auto resend = simulation.ask(200ms, "docket-status", [](caller_request &request) {
+    const auto first = simulation.submit(10ms, "docket-status");
+    const auto resend = simulation.submit(200ms, "docket-status", [](caller_request &request) {
         request.requestId = "1790000000-r1";
         request.prompt = "prompt 1";
     });
     simulation.run(5s);
     checkAnswer(simulation, first, outcome_kind::complete);
     checkAnswer(simulation, resend, outcome_kind::complete);
-    CHECK(!simulation.answers(resend).front().storedAnswer.empty());
+    CHECK(!simulation.responses(resend).front().storedResponse.empty());
     checkGolden("docket-status", simulation);
 }
 
@@ -70,9 +70,9 @@
     simulation.upstream = [](const start_attempt &) {
         return failing(attempt_failure::connection_lost);
     };
-    const auto first = simulation.ask(10ms, "receipt-check");
+    const auto first = simulation.submit(10ms, "receipt-check");
     const auto resend =
-        simulation.ask(200ms, "receipt-check", [](caller_request &request) { request.requestId = "1790000000-r1"; });
+        simulation.submit(200ms, "receipt-check", [](caller_request &request) { request.requestId = "1790000000-r1"; });
     simulation.run(5s);
     checkAnswer(simulation, first, outcome_kind::failed_after_run, reason_code::upstream_failed);
     checkAnswer(simulation, resend, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
@@ -83,15 +83,15 @@
 {
     core_simulation simulation(linShou(), linShouUpstreams());
     const auto first =
-        simulation.ask(10ms, "release-summary", [](caller_request &request) { request.sessionId = "release-7"; });
+        simulation.submit(10ms, "release-summary", [](caller_request &request) { request.sessionId = "release-7"; });
     simulation.run(200ms);
     checkAnswer(simulation, first, outcome_kind::complete);
-    const auto token = simulation.answers(first).front().sessionToken;
-    const auto second = simulation.ask(300ms, "release-summary", [&](caller_request &request) {
+    const auto token = simulation.responses(first).front().sessionToken;
+    const auto second = simulation.submit(300ms, "release-summary", [&](caller_request &request) {
         request.sessionId = "release-7";
         request.sessionToken = token;
     });
-    const auto forged = simulation.ask(600ms, "release-summary", [&](caller_request &request) {
+    const auto forged = simulation.submit(600ms, "release-summary", [&](caller_request &request) {
         request.sessionId = "release-8";
         request.sessionToken = token;
     });
@@ -111,11 +111,11 @@
     simulation.upstream = [](const start_attempt &) {
         return attempt_script{.chunks = {"tag"}, .first = 3s};
     };
-    const auto first = simulation.ask(10ms, "page-tag");
-    const auto second = simulation.ask(11ms, "page-tag");
-    const auto third = simulation.ask(12ms, "page-tag");
-    const auto fourth = simulation.ask(13ms, "page-tag");
-    const auto late = simulation.ask(3500ms, "page-tag", [](caller_request &request) { request.deadline = 1s; });
+    const auto first = simulation.submit(10ms, "page-tag");
+    const auto second = simulation.submit(11ms, "page-tag");
+    const auto third = simulation.submit(12ms, "page-tag");
+    const auto fourth = simulation.submit(13ms, "page-tag");
+    const auto late = simulation.submit(3500ms, "page-tag", [](caller_request &request) { request.deadline = 1s; });
     simulation.run(20s);
     checkAnswer(simulation, first, outcome_kind::complete);
     checkAnswer(simulation, second, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
@@ -134,8 +134,8 @@
     simulation.upstream = [](const start_attempt &) {
         return attempt_script{.chunks = {"dossier"}, .first = 8s};
     };
-    const auto first = simulation.ask(10ms, "dossier-summary");
-    const auto second = simulation.ask(20ms, "dossier-summary");
+    const auto first = simulation.submit(10ms, "dossier-summary");
+    const auto second = simulation.submit(20ms, "dossier-summary");
     simulation.run(60s);
     checkAnswer(simulation, first, outcome_kind::complete);
     checkAnswer(simulation, second, outcome_kind::complete);
@@ -152,8 +152,8 @@
             return {.chunks = {"Gentile "}, .failure = attempt_failure::truncated};
         return {.chunks = {"Gentile socio"}};
     };
-    const auto draft = simulation.ask(10ms, "reminder-draft");
-    const auto cut = simulation.ask(500ms, "reminder-draft");
+    const auto draft = simulation.submit(10ms, "reminder-draft");
+    const auto cut = simulation.submit(500ms, "reminder-draft");
     simulation.run(60s);
     checkAnswer(simulation, draft, outcome_kind::complete);
     checkAnswer(simulation, cut, outcome_kind::failed_after_run, reason_code::answer_truncated);
@@ -167,11 +167,11 @@
     simulation.rating = [&](std::string_view) {
         return isDown ? std::nullopt : std::optional(950U);
     };
-    const auto first = simulation.ask(10ms, "tone-check");
-    const auto second = simulation.ask(500ms, "tone-check", [](caller_request &request) { request.stream = true; });
+    const auto first = simulation.submit(10ms, "tone-check");
+    const auto second = simulation.submit(500ms, "tone-check", [](caller_request &request) { request.stream = true; });
     simulation.call(800ms, "the rating service is back", [&] { isDown = false; });
-    const auto third = simulation.ask(1000ms, "tone-check");
-    const auto fourth = simulation.ask(1500ms, "tone-check");
+    const auto third = simulation.submit(1000ms, "tone-check");
+    const auto fourth = simulation.submit(1500ms, "tone-check");
     simulation.run(10s);
     for (const auto request : {first, second, third, fourth})
         checkAnswer(simulation, request, outcome_kind::complete);
@@ -186,8 +186,9 @@
             return {.chunks = {"saldo ", "12,50"}};
         return {.chunks = {"saldo "}, .silent = true};
     };
-    const auto whole = simulation.ask(10ms, "ledger-lookup", [](caller_request &request) { request.stream = true; });
-    const auto hanging = simulation.ask(500ms, "ledger-lookup", [](caller_request &request) { request.stream = true; });
+    const auto whole = simulation.submit(10ms, "ledger-lookup", [](caller_request &request) { request.stream = true; });
+    const auto hanging =
+        simulation.submit(500ms, "ledger-lookup", [](caller_request &request) { request.stream = true; });
     simulation.run(10s);
     checkAnswer(simulation, whole, outcome_kind::complete);
     checkAnswer(simulation, hanging, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
@@ -197,14 +198,14 @@
 TEST_CASE("golden session: payment-promise runs on to its bill when the caller is gone")
 {
     core_simulation simulation(sollecitiPadani(), sollecitiPadaniUpstreams());
-    const auto lost = simulation.ask(10ms, "payment-promise");
+    const auto lost = simulation.submit(10ms, "payment-promise");
     simulation.at(20ms, caller_gone{lost});
-    const auto twin =
-        simulation.ask(30ms, "payment-promise", [](caller_request &request) { request.requestId = "1790000000-r1"; });
-    const auto resend =
-        simulation.ask(500ms, "payment-promise", [](caller_request &request) { request.requestId = "1790000000-r1"; });
+    const auto twin = simulation.submit(30ms, "payment-promise",
+                                        [](caller_request &request) { request.requestId = "1790000000-r1"; });
+    const auto resend = simulation.submit(500ms, "payment-promise",
+                                          [](caller_request &request) { request.requestId = "1790000000-r1"; });
     simulation.call(1000ms, "the store is down", [&] { simulation.ledger.down = true; });
-    const auto refused = simulation.ask(1100ms, "payment-promise");
+    const auto refused = simulation.submit(1100ms, "payment-promise");
     simulation.run(10s);
     checkAnswer(simulation, lost, outcome_kind::complete);
     checkAnswer(simulation, twin, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
--- a/tests/test_golden_ledger.cpp
+++ b/tests/test_golden_ledger.cpp
@@ -17,7 +17,7 @@
 
 bool isReplyTo(const core_input &input, ledger_step step)
 {
-    const auto *reply = std::get_if<ledger_reply>(&input);
+    const auto *reply = std::get_if<ledger_response>(&input);
     return reply && reply->step == step;
 }
 
@@ -30,15 +30,15 @@
     simulation.upstream = [&](const start_attempt &) {
         return isDown ? failing(attempt_failure::not_sent) : attempt_script{};
     };
-    const auto refused = simulation.ask(10ms, "payment-promise");
+    const auto refused = simulation.submit(10ms, "payment-promise");
     simulation.call(900ms, "the upstreams are back", [&] { isDown = false; });
-    const auto resend = simulation.ask(1000ms, "payment-promise", resendFirst);
-    const auto again = simulation.ask(1500ms, "payment-promise", resendFirst);
+    const auto resend = simulation.submit(1000ms, "payment-promise", resendFirst);
+    const auto again = simulation.submit(1500ms, "payment-promise", resendFirst);
     simulation.call(1600ms, "another host claims", [&] {
         simulation.ledger.entries[{"cremona-recupero", "1790000000-other"}].claimed = true;
     });
-    const auto other = simulation.ask(1700ms, "payment-promise",
-                                      [](caller_request &request) { request.requestId = "1790000000-other"; });
+    const auto other = simulation.submit(1700ms, "payment-promise",
+                                         [](caller_request &request) { request.requestId = "1790000000-other"; });
     simulation.run(10s);
     checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::no_upstream);
     checkAnswer(simulation, resend, outcome_kind::complete);
@@ -55,9 +55,9 @@
         return attempt_script{.chunks = {"noted"}, .first = 800ms};
     };
     const auto late =
-        simulation.ask(10ms, "payment-promise", [](caller_request &request) { request.deadline = 300ms; });
-    const auto early = simulation.ask(500ms, "payment-promise", resendFirst);
-    const auto resend = simulation.ask(1500ms, "payment-promise", resendFirst);
+        simulation.submit(10ms, "payment-promise", [](caller_request &request) { request.deadline = 300ms; });
+    const auto early = simulation.submit(500ms, "payment-promise", resendFirst);
+    const auto resend = simulation.submit(1500ms, "payment-promise", resendFirst);
     simulation.run(20s);
     checkAnswer(simulation, late, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
     checkAnswer(simulation, early, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
@@ -72,17 +72,17 @@
     simulation.copies = [&](const core_input &input) {
         return lost && isReplyTo(input, *lost) ? 0 : 1;
     };
-    const auto claim = simulation.ask(10ms, "payment-promise");
+    const auto claim = simulation.submit(10ms, "payment-promise");
     simulation.call(4s, "replies to bills are lost", [&] { lost = ledger_step::bill; });
-    const auto bill = simulation.ask(4100ms, "payment-promise");
+    const auto bill = simulation.submit(4100ms, "payment-promise");
     simulation.call(8s, "replies to pins are lost", [&] { lost = ledger_step::pin; });
     const auto pin =
-        simulation.ask(8100ms, "ledger-lookup", [](caller_request &request) { request.sessionId = "call-3"; });
+        simulation.submit(8100ms, "ledger-lookup", [](caller_request &request) { request.sessionId = "call-3"; });
     simulation.call(12s, "the ledger answers, the store is down", [&] {
         lost.reset();
         simulation.ledger.down = true;
     });
-    const auto copied = simulation.ask(12100ms, "ledger-lookup");
+    const auto copied = simulation.submit(12100ms, "ledger-lookup");
     simulation.run(20s);
     checkAnswer(simulation, claim, outcome_kind::may_have_run, reason_code::store_unavailable);
     checkAnswer(simulation, bill, outcome_kind::failed_after_run, reason_code::store_unavailable);
--- a/tests/test_golden_operation.cpp
+++ b/tests/test_golden_operation.cpp
@@ -59,7 +59,7 @@
 {
     core_simulation simulation(onlyBrush(), upstreamsWithBrush2());
     const auto inSession = [&](milliseconds time, const std::string &session) {
-        return simulation.ask(time, "page-tag", [&](caller_request &request) { request.sessionId = session; });
+        return simulation.submit(time, "page-tag", [&](caller_request &request) { request.sessionId = session; });
     };
     const auto before = inSession(10ms, "a");
     simulation.configure(200ms, [](fleet &config) { addBrush2(config, version_state::rolling_out); });
@@ -69,11 +69,11 @@
     requests.push_back(inSession(1400ms, "a"));
     requests.push_back(inSession(1600ms, "e"));
     simulation.run(5s);
-    CHECK(simulation.answers(before).front().version == "brush-1");
+    CHECK(simulation.responses(before).front().version == "brush-1");
     for (const auto request : requests)
         checkAnswer(simulation, request, outcome_kind::complete);
-    CHECK(simulation.answers(requests[5]).front().version == "brush-1");
-    CHECK(simulation.answers(requests[6]).front().version == "brush-2");
+    CHECK(simulation.responses(requests[5]).front().version == "brush-1");
+    CHECK(simulation.responses(requests[6]).front().version == "brush-2");
     checkGolden("roll-out", simulation);
 }
 
@@ -88,7 +88,7 @@
     std::vector<request_token> requests;
     const auto inSession = [&](milliseconds time, const std::string &session) {
         requests.push_back(
-            simulation.ask(time, "page-tag", [&](caller_request &request) { request.sessionId = session; }));
+            simulation.submit(time, "page-tag", [&](caller_request &request) { request.sessionId = session; }));
     };
     for (int i = 0; i < 12; ++i)
         inSession(milliseconds{10 + 200 * i}, "session-" + std::to_string(i));
@@ -96,9 +96,9 @@
     simulation.run(6s);
     for (const auto request : requests)
         checkAnswer(simulation, request, outcome_kind::complete);
-    CHECK(simulation.answers(requests[0]).front().version == "brush-2");
-    CHECK(simulation.answers(requests[11]).front().version == "brush-1");
-    CHECK(simulation.answers(requests[12]).front().version == "brush-2");
+    CHECK(simulation.responses(requests[0]).front().version == "brush-2");
+    CHECK(simulation.responses(requests[11]).front().version == "brush-1");
+    CHECK(simulation.responses(requests[12]).front().version == "brush-2");
     checkGolden("halt-of-bad-version", simulation);
 }
 
@@ -111,22 +111,22 @@
         return attempt_script{.chunks = {"tag"}, .first = 100ms};
     };
     const auto inSession = [&](milliseconds time) {
-        return simulation.ask(time, "page-tag", [&](caller_request &request) { request.sessionId = "s"; });
+        return simulation.submit(time, "page-tag", [&](caller_request &request) { request.sessionId = "s"; });
     };
     const auto before = inSession(10ms);
     const auto during = inSession(350ms);
-    const auto alone = simulation.ask(360ms, "page-tag");
+    const auto alone = simulation.submit(360ms, "page-tag");
     simulation.configure(400ms, [](fleet &next) { setState(next, "brush-2", version_state::withdrawn); });
     const auto after = inSession(500ms);
-    const auto fresh = simulation.ask(600ms, "page-tag");
+    const auto fresh = simulation.submit(600ms, "page-tag");
     simulation.run(6s);
     checkAnswer(simulation, before, outcome_kind::complete);
     checkAnswer(simulation, during, outcome_kind::failed_after_run, reason_code::session_version_withdrawn);
     checkAnswer(simulation, alone, outcome_kind::complete);
     checkAnswer(simulation, after, outcome_kind::not_run, reason_code::session_version_withdrawn);
     checkAnswer(simulation, fresh, outcome_kind::complete);
-    CHECK(simulation.answers(alone).front().version == "brush-1");
-    CHECK(simulation.answers(fresh).front().version == "brush-1");
+    CHECK(simulation.responses(alone).front().version == "brush-1");
+    CHECK(simulation.responses(fresh).front().version == "brush-1");
     checkGolden("withdrawal-in-session", simulation);
 }
 
@@ -143,13 +143,13 @@
             return failing(attempt_failure::rejected);
         return {.chunks = {"long ", "draft"}};
     };
-    const auto better = simulation.ask(10ms, "appeal-draft", [](caller_request &request) { request.stream = true; });
-    const auto kept = simulation.ask(20ms, "appeal-draft");
+    const auto better = simulation.submit(10ms, "appeal-draft", [](caller_request &request) { request.stream = true; });
+    const auto kept = simulation.submit(20ms, "appeal-draft");
     simulation.run(10s);
     checkAnswer(simulation, better, outcome_kind::complete);
     checkAnswer(simulation, kept, outcome_kind::complete);
-    CHECK(simulation.answers(better).front().version == "scroll-1");
-    CHECK(simulation.answers(kept).front().text == "short draft");
+    CHECK(simulation.responses(better).front().version == "scroll-1");
+    CHECK(simulation.responses(kept).front().text == "short draft");
     checkGolden("escalation", simulation);
 }
 
@@ -161,15 +161,16 @@
             return {.chunks = {"late"}, .first = 1600ms, .ignoresCancel = true};
         return {.chunks = {"own"}, .first = 100ms};
     };
-    const auto late = simulation.ask(10ms, "ledger-lookup");
-    const auto other = simulation.ask(1580ms, "ledger-lookup");
+    const auto late = simulation.submit(10ms, "ledger-lookup");
+    const auto other = simulation.submit(1580ms, "ledger-lookup");
     simulation.at(1600ms, attempt_chunk{attempt_token{77}, "text of another process"});
     simulation.at(1601ms, attempt_done{attempt_token{77}, 1, 1});
-    simulation.at(1602ms, ledger_reply{.request = other, .step = ledger_step::claim, .status = ledger_status::written});
+    simulation.at(1602ms,
+                  ledger_response{.request = other, .step = ledger_step::claim, .status = ledger_status::written});
     simulation.run(10s);
     checkAnswer(simulation, late, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
     checkAnswer(simulation, other, outcome_kind::complete);
-    CHECK(simulation.answers(other).front().text == "own");
+    CHECK(simulation.responses(other).front().text == "own");
     checkGolden("late-and-crossed-answers", simulation);
 }
 
@@ -187,10 +188,10 @@
     const auto poison = [](caller_request &request) {
         request.prompt = "poison";
     };
-    const auto first = simulation.ask(10ms, "page-tag", poison);
-    const auto again = simulation.ask(500ms, "page-tag", poison);
-    const auto healthy = simulation.ask(600ms, "page-tag");
-    const auto later = simulation.ask(700s, "page-tag", poison);
+    const auto first = simulation.submit(10ms, "page-tag", poison);
+    const auto again = simulation.submit(500ms, "page-tag", poison);
+    const auto healthy = simulation.submit(600ms, "page-tag");
+    const auto later = simulation.submit(700s, "page-tag", poison);
     simulation.run(720s);
     checkAnswer(simulation, first, outcome_kind::failed_after_run, reason_code::quarantined);
     checkAnswer(simulation, again, outcome_kind::not_run, reason_code::quarantined);
@@ -205,10 +206,10 @@
     config.accounts[0].burst = 2;
     config.accounts[0].requestsPerSecond = 1;
     core_simulation simulation(config, sollecitiPadaniUpstreams());
-    const auto first = simulation.ask(10ms, "ledger-lookup");
-    const auto second = simulation.ask(20ms, "ledger-lookup");
-    const auto third = simulation.ask(30ms, "ledger-lookup");
-    const auto later = simulation.ask(3000ms, "ledger-lookup");
+    const auto first = simulation.submit(10ms, "ledger-lookup");
+    const auto second = simulation.submit(20ms, "ledger-lookup");
+    const auto third = simulation.submit(30ms, "ledger-lookup");
+    const auto later = simulation.submit(3000ms, "ledger-lookup");
     simulation.run(10s);
     checkAnswer(simulation, first, outcome_kind::complete);
     checkAnswer(simulation, second, outcome_kind::complete);
@@ -224,10 +225,10 @@
         upstream.slots = 1;
     upstreams[1].state = host_state::leaving;
     core_simulation simulation(linShou(), upstreams);
-    const auto running = simulation.ask(10ms, "appeal-draft");
-    const auto queued = simulation.ask(20ms, "appeal-draft");
+    const auto running = simulation.submit(10ms, "appeal-draft");
+    const auto queued = simulation.submit(20ms, "appeal-draft");
     simulation.at(30ms, drain_request{});
-    const auto refused = simulation.ask(40ms, "appeal-draft");
+    const auto refused = simulation.submit(40ms, "appeal-draft");
     simulation.run(10s);
     checkAnswer(simulation, running, outcome_kind::complete);
     checkAnswer(simulation, queued, outcome_kind::complete);
@@ -244,10 +245,10 @@
             return {.chunks = {}, .failure = attempt_failure::connection_lost, .first = 1200ms};
         return {};
     };
-    const auto retried = simulation.ask(10ms, "appeal-draft");
-    const auto refused = simulation.ask(1500ms, "appeal-draft");
+    const auto retried = simulation.submit(10ms, "appeal-draft");
+    const auto refused = simulation.submit(1500ms, "appeal-draft");
     simulation.at(2500ms, lease_changed{1, 60s});
-    const auto served = simulation.ask(2600ms, "appeal-draft");
+    const auto served = simulation.submit(2600ms, "appeal-draft");
     simulation.run(10s);
     checkAnswer(simulation, retried, outcome_kind::failed_after_run, reason_code::no_fresh_configuration);
     checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::no_fresh_configuration);
--- a/tests/test_transcript.cpp
+++ b/tests/test_transcript.cpp
@@ -58,12 +58,12 @@
     {
         return "failure of attempt " + number(input.attempt) + ": " + std::string(nameOf(input.failure));
     }
-    std::string operator()(const ledger_reply &input) const
+    std::string operator()(const ledger_response &input) const
     {
         return "ledger reply to " + std::string(nameOf(input.step)) + " of " + number(input.request) + ": "
             + std::string(nameOf(input.status)) + field("pins", joined(input.pins)) + field("answer", input.answer);
     }
-    std::string operator()(const rating_reply &input) const
+    std::string operator()(const rating_response &input) const
     {
         return "rating of attempt " + number(input.attempt) + ": "
             + (input.scorePermille ? std::to_string(*input.scorePermille) : "none");
@@ -123,7 +123,7 @@
             + (action.reason == reason_code::none ? "" : " " + std::string(nameOf(action.reason)))
             + field("field", action.field) + field("retry_after_ms", std::uint64_t(action.retryAfter.count()))
             + field("version", action.version) + field("cost", action.costMicroUnits)
-            + (action.sessionToken.empty() ? "" : " with token") + field("stored", action.storedAnswer)
+            + (action.sessionToken.empty() ? "" : " with token") + field("stored", action.storedResponse)
             + (action.text.empty() ? "" : " " + inQuotes(action.text));
     }
     std::string operator()(const write_claim &action) const
@@ -139,7 +139,7 @@
     {
         return "pin " + action.account + " " + action.sessionId + ": " + joined(action.versions);
     }
-    std::string operator()(const ask_rating &action) const
+    std::string operator()(const request_rating &action) const
     {
         return "rate attempt " + number(action.attempt) + " " + inQuotes(action.text);
     }
--- a/tools/load_simulation.h
+++ b/tools/load_simulation.h
@@ -94,7 +94,7 @@
     void on(std::size_t hostIndex, const write_claim &action);
     void on(std::size_t hostIndex, const write_bill &action);
     void on(std::size_t hostIndex, const write_pin &action);
-    void on(std::size_t hostIndex, const ask_rating &action);
+    void on(std::size_t hostIndex, const request_rating &action);
     void on(std::size_t hostIndex, const share_evidence &action);
     void on(std::size_t hostIndex, const share_halt &action);
     void on(std::size_t hostIndex, const record_event &action);
--- a/tools/load_simulation_ports.cpp
+++ b/tools/load_simulation_ports.cpp
@@ -140,7 +140,7 @@
 void simulation::on(std::size_t hostIndex, const write_claim &action)
 {
     auto &entry = m_ledger[{action.account, action.requestId}];
-    ledger_reply reply{.request = action.request, .step = ledger_step::claim, .status = ledger_status::written};
+    ledger_response reply{.request = action.request, .step = ledger_step::claim, .status = ledger_status::written};
     if (entry.claimed) {
         reply.status = entry.billed ? ledger_status::exists_billed : ledger_status::exists_open;
         reply.answer = entry.answer;
@@ -153,7 +153,7 @@
 {
     auto &entry = m_ledger[{action.account, action.requestId}];
     auto &state = m_states[m_sendings[static_cast<std::size_t>(action.request) - 1].request];
-    ledger_reply reply{.request = action.request, .step = ledger_step::bill, .status = ledger_status::written};
+    ledger_response reply{.request = action.request, .step = ledger_step::bill, .status = ledger_status::written};
     if (entry.billed) {
         reply.status = ledger_status::exists_billed;
     } else {
@@ -168,7 +168,7 @@
 void simulation::on(std::size_t hostIndex, const write_pin &action)
 {
     auto &entry = m_ledger[{action.account, "session " + action.sessionId}];
-    ledger_reply reply{.request = action.request, .step = ledger_step::pin, .status = ledger_status::written};
+    ledger_response reply{.request = action.request, .step = ledger_step::pin, .status = ledger_status::written};
     if (entry.pins.empty())
         entry.pins = action.versions;
     else
@@ -177,10 +177,10 @@
     feedLater(milliseconds{m_settings.ledgerMs}, hostIndex, reply);
 }
 
-void simulation::on(std::size_t hostIndex, const ask_rating &action)
+void simulation::on(std::size_t hostIndex, const request_rating &action)
 {
     const auto &entry = m_sendings[static_cast<std::size_t>(action.request) - 1];
-    rating_reply reply{.request = action.request, .attempt = action.attempt};
+    rating_response reply{.request = action.request, .attempt = action.attempt};
     const auto verdict = entry.verdicts.find(m_unrated[{hostIndex, action.attempt}]);
     m_unrated.erase({hostIndex, action.attempt});
     if (m_ratingUp && verdict != entry.verdicts.end())
