--- a/src/ports_p.h
+++ b/src/ports_p.h
@@ -29,7 +29,7 @@
     virtual void onDrain() { }
 };
 
-/// Writes claims, pins and bills. Each is answered by exactly one ledger_reply to the sink.
+/// Writes claims, pins and bills. Each is answered by exactly one ledger_response to the sink.
 class ledger_port : public port_events
 {
 public:
--- a/src/router_task.cpp
+++ b/src/router_task.cpp
@@ -191,10 +191,10 @@
     m_ports.ledger->pin(action);
 }
 
-void router_task::perform(const ask_rating &action)
+void router_task::perform(const request_rating &action)
 {
     m_platform.rate(action.kind, action.text, [this, action](std::optional<std::uint32_t> score) {
-        deliver(rating_reply{action.request, action.attempt, score});
+        deliver(rating_response{action.request, action.attempt, score});
     });
 }
 
--- a/src/store_ports_p.h
+++ b/src/store_ports_p.h
@@ -47,7 +47,7 @@
     [[nodiscard]] bool isIdle() const override { return m_open == 0; }
 
 private:
-    void reply(ledger_reply answer);
+    void reply(ledger_response answer);
     void readBill(request_token request, const std::string &key);
     void readPin(request_token request, const std::string &key);
 
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -176,7 +176,7 @@
     expect(++m_finishes[action.request] == 1, "one final answer", action.request);
     const bool notRun = action.outcome == outcome_kind::not_run || action.outcome == outcome_kind::invalid;
     expect(!notRun || sentAttempts(action.request) == 0, "not_run only if nothing was sent", action.request);
-    const bool isFresh = action.outcome == outcome_kind::complete && action.storedAnswer.empty();
+    const bool isFresh = action.outcome == outcome_kind::complete && action.storedResponse.empty();
     expect(!isFresh || m_bills[action.request] == 1, "bill before a whole answer", action.request);
 }
 
@@ -309,7 +309,7 @@
     const auto count = 20 + below(60);
     for (std::uint64_t i = 0; i < count; ++i) {
         const auto time = anyTime();
-        const auto token = m_simulation.ask(time, kKinds[below(kKinds.size())], [&](caller_request &request) {
+        const auto token = m_simulation.submit(time, kKinds[below(kKinds.size())], [&](caller_request &request) {
             if (chance(25))
                 request.requestId = "1790000000-shared" + std::to_string(below(4)) + request.kind;
             if (chance(30))
