--- a/cmake/gateway.cmake
+++ b/cmake/gateway.cmake
@@ -12,7 +12,7 @@
     src/event_splitter.cpp
     src/forwarding.cpp
     src/gateway_exchange.cpp
-    src/gateway_exchange_answers.cpp
+    src/gateway_exchange_responses.cpp
     src/gateway_metrics.cpp
     src/gateway_model.cpp
     src/gateway_settings.cpp
--- a/src/forwarding.cpp
+++ b/src/forwarding.cpp
@@ -31,15 +31,15 @@
 }
 
 /// Reads "PROMPT,ANSWER" and the caller's own estimate of the answer.
-void readTokens(request_facts &facts, const message_head &head, const header_dialect &dialect)
+void readTokens(request_metadata &facts, const message_head &head, const header_names &headerNames)
 {
-    const auto counts = splitList(head.header(dialect.tokenCounts));
+    const auto counts = splitList(head.header(headerNames.tokenCounts));
     if (!counts.empty())
         facts.promptTokens = parseNumber(counts.front()).value_or(0);
     if (counts.size() > 1)
-        facts.answerTokens = parseNumber(counts[1]).value_or(0);
-    if (const auto hint = parseNumber(head.header(dialect.lengthHint)))
-        facts.answerTokens = *hint;
+        facts.outputTokens = parseNumber(counts[1]).value_or(0);
+    if (const auto hint = parseNumber(head.header(headerNames.lengthHint)))
+        facts.outputTokens = *hint;
 }
 
 std::uint64_t tokensOf(std::string_view part)
@@ -49,9 +49,9 @@
 }
 
 /// Reads "ID:TOKENS,...": the last part is the request's own, those before it are shared.
-void readPrompt(request_facts &facts, const message_head &head, const header_dialect &dialect)
+void readPrompt(request_metadata &facts, const message_head &head, const header_names &headerNames)
 {
-    const auto parts = splitList(head.header(dialect.promptParts));
+    const auto parts = splitList(head.header(headerNames.promptParts));
     if (parts.size() < 2)
         return;
     facts.sharedPrompt = hashOf(parts[parts.size() - 2]) | 1U;
@@ -62,27 +62,27 @@
 
 } // namespace
 
-request_facts readFacts(const message_head &head, const header_dialect &dialect)
+request_metadata parseRequestHeaders(const message_head &head, const header_names &headerNames)
 {
-    request_facts facts;
-    facts.id = head.header(dialect.requestId);
+    request_metadata facts;
+    facts.id = head.header(headerNames.requestId);
     facts.host = head.header("Host");
-    facts.model = head.header(dialect.model);
-    if (const auto deadline = parseNumber(head.header(dialect.deadline)))
+    facts.model = head.header(headerNames.model);
+    if (const auto deadline = parseNumber(head.header(headerNames.deadline)))
         facts.deadline = std::chrono::milliseconds{*deadline};
-    facts.lastEventId = parseNumber(head.header(dialect.lastEventId));
+    facts.lastEventId = parseNumber(head.header(headerNames.lastEventId));
     const auto authorization = head.header("Authorization");
     const auto scheme = authorization.substr(0, authorization.find(' '));
-    if (isSameHeader(scheme, dialect.keyScheme) && scheme.size() < authorization.size())
+    if (isSameHeader(scheme, headerNames.keyScheme) && scheme.size() < authorization.size())
         facts.key = trimmed(authorization.substr(scheme.size() + 1));
-    const auto session = head.header(dialect.session);
+    const auto session = head.header(headerNames.session);
     facts.session = hashOf(session.empty() ? std::string_view(facts.id) : session);
-    readTokens(facts, head, dialect);
-    readPrompt(facts, head, dialect);
+    readTokens(facts, head, headerNames);
+    readPrompt(facts, head, headerNames);
     return facts;
 }
 
-std::string forwardedHead(const caller_request &request, const forward_fields &fields, const header_dialect &dialect)
+std::string forwardedHead(const caller_request &request, const forward_fields &fields, const header_names &headerNames)
 {
     const auto &head = request.head;
     const auto dropped = splitList(head.header("Connection"));
@@ -91,37 +91,38 @@
         text.append(name).append(": ").append(value).append("\r\n");
     };
     const auto isReplaced = [&](std::string_view name) {
-        return (!fields.model.empty() && isSameHeader(name, dialect.model))
-            || (fields.lastEventId && isSameHeader(name, dialect.lastEventId)) || isSameHeader(name, dialect.deadline)
-            || isSameHeader(name, "Authorization");
+        return (!fields.model.empty() && isSameHeader(name, headerNames.model))
+            || (fields.lastEventId && isSameHeader(name, headerNames.lastEventId))
+            || isSameHeader(name, headerNames.deadline) || isSameHeader(name, "Authorization");
     };
     const auto isOwn = [&](std::string_view name) {
-        return isSameHeader(name, "Host") || isSameHeader(name, dialect.requestId) || isSameHeader(name, dialect.model)
-            || isSameHeader(name, dialect.tokenCounts) || isSameHeader(name, dialect.promptParts)
-            || isSameHeader(name, dialect.lastEventId);
+        return isSameHeader(name, "Host") || isSameHeader(name, headerNames.requestId)
+            || isSameHeader(name, headerNames.model) || isSameHeader(name, headerNames.tokenCounts)
+            || isSameHeader(name, headerNames.promptParts) || isSameHeader(name, headerNames.lastEventId);
     };
     for (const auto &[name, value] : head.headers) {
         const bool isNamedByConnection = isOneOf(name, dropped) && !isOwn(name);
-        if (!isConnectionHeader(name) && !isNamedByConnection && !isReplaced(name) && !isOneOf(name, dialect.reserved))
+        if (!isConnectionHeader(name) && !isNamedByConnection && !isReplaced(name)
+            && !isOneOf(name, headerNames.reserved))
             add(name, value);
     }
-    add(dialect.deadline, std::to_string(fields.deadline.count()));
-    add(dialect.expectReplica, fields.replica);
+    add(headerNames.deadline, std::to_string(fields.deadline.count()));
+    add(headerNames.expectReplica, fields.replica);
     if (!fields.account.empty())
-        add(dialect.account, fields.account);
+        add(headerNames.account, fields.account);
     if (!fields.model.empty())
-        add(dialect.model, fields.model);
+        add(headerNames.model, fields.model);
     if (fields.priority)
-        add(dialect.priority, std::to_string(std::min(*fields.priority, kLeastUrgent)));
+        add(headerNames.priority, std::to_string(std::min(*fields.priority, kLeastUrgent)));
     if (fields.lastEventId)
-        add(dialect.lastEventId, std::to_string(*fields.lastEventId));
+        add(headerNames.lastEventId, std::to_string(*fields.lastEventId));
     const bool hasBody = head.length || head.isChunked;
     if (hasBody)
         add("Content-Length", std::to_string(request.body.size()));
     return text + "\r\n";
 }
 
-http_headers answerHeaders(const message_head &answer)
+http_headers forwardedResponseHeaders(const message_head &answer)
 {
     const auto dropped = splitList(answer.header("Connection"));
     http_headers kept;
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -1,5 +1,5 @@
 // One request on its way: admission, choice of a replica, sending; see gateway_exchange_p.h. What follows an answer is
-// in gateway_exchange_answers.cpp.
+// in gateway_exchange_responses.cpp.
 #include "gateway_exchange_p.h"
 
 #include <nlohmann/json.hpp>
@@ -29,7 +29,7 @@
     : m_state(state)
     , m_request(std::move(request))
     , m_reply(reply)
-    , m_facts(readFacts(m_request.head, state.dialect))
+    , m_facts(parseRequestHeaders(m_request.head, state.headerNames))
     , m_config(state.config)
     , m_lastEventId(m_facts.lastEventId)
     , m_timer(state.loop, [this] { onDeadline(); })
@@ -50,7 +50,7 @@
     m_deadline = m_request.readAt + wait;
     m_timer.start(left());
     chooseService();
-    m_state.budget.noteRequest(m_service, m_request.readAt);
+    m_state.budget.recordRequest(m_service, m_request.readAt);
     if (!m_route->models.empty()) {
         ladder_step step;
         step.models = m_route->models.size();
@@ -186,7 +186,7 @@
         fields.priority = enginePriority();
     if (m_hasBegun)
         fields.lastEventId = m_lastEventId;
-    return {replica.address, replica.id, forwardedHead(m_request, fields, m_state.dialect) + m_request.body,
+    return {replica.address, replica.id, forwardedHead(m_request, fields, m_state.headerNames) + m_request.body,
             m_facts.id};
 }
 
@@ -243,7 +243,7 @@
     const auto now = suspendAwareNow();
     const auto duration = now - m_request.readAt;
     const std::string_view route = m_route ? std::string_view(m_route->name) : std::string_view("none");
-    m_state.metrics.noteRequest(route, status, reason, duration);
+    m_state.metrics.recordRequest(route, status, reason, duration);
     nlohmann::ordered_json fields{
         {"request_id", m_facts.id},
         {"route", route},
--- a/src/gateway_exchange_p.h
+++ b/src/gateway_exchange_p.h
@@ -22,7 +22,7 @@
 struct gateway_state {
     event_loop &loop;
     const gateway_settings &settings;
-    const header_dialect &dialect;
+    const header_names &headerNames;
     decision_log &log;
     gateway_metrics &metrics;
     gateway_config_ptr config; ///< null: none is known
@@ -84,7 +84,7 @@
     void passEvent(std::string_view event, std::optional<std::uint64_t> id);
     void beginStream();
     [[nodiscard]] attempt_result classify(upstream_end end) const;
-    void noteAttempt(attempt_result result);
+    void recordAttempt(attempt_result result);
     void noteVersionAnswer(attempt_result result);
     void closeAttempt(std::optional<bool> isGood);
     void follow(attempt_result result);
@@ -104,7 +104,7 @@
     gateway_state &m_state;
     caller_request m_request;
     caller_reply &m_reply;
-    request_facts m_facts;
+    request_metadata m_facts;
     gateway_config_ptr m_config; ///< in force when the request came
     const gateway_route *m_route = nullptr; ///< in m_config
     const client_account *m_account = nullptr; ///< in m_config
--- a/src/gateway_exchange_answers.cpp
+++ b/src/gateway_exchange_responses.cpp
@@ -60,7 +60,7 @@
     m_firstByteAt = suspendAwareNow();
     m_answer = head;
     m_state.replicas.noteFirstByte(m_replica, std::exchange(m_promptMs, 0));
-    const bool isUsable = !head.header(m_state.dialect.stamp).empty() && head.header("Content-Encoding").empty();
+    const bool isUsable = !head.header(m_state.headerNames.stamp).empty() && head.header("Content-Encoding").empty();
     if (!isSuccess(head.status) || !isUsable)
         return;
     if (const auto model = escalation(head))
@@ -77,7 +77,7 @@
     step.current = m_model;
     step.sends = m_sends;
     step.maxSends = m_route->maxAttempts;
-    step.confidence = parseNumber(head.header(m_state.dialect.confidence));
+    step.confidence = parseNumber(head.header(m_state.headerNames.confidence));
     step.elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(suspendAwareNow() - m_request.readAt);
     step.objective = m_route->objective;
     const auto next = nextModel(m_state.ladder, step);
@@ -88,7 +88,7 @@
 
 void gateway_exchange::escalate(std::size_t model)
 {
-    m_state.metrics.noteAttempt(m_service, m_replicaVersion, "escalated");
+    m_state.metrics.recordAttempt(m_service, m_replicaVersion, "escalated");
     m_mayHaveRun = true;
     closeAttempt(true);
     m_model = model;
@@ -125,8 +125,8 @@
 void gateway_exchange::beginStream()
 {
     m_hasBegun = true;
-    m_state.metrics.noteFirstEvent(m_route->name, suspendAwareNow() - m_request.readAt);
-    m_reply.startStream(m_answer.status, answerHeaders(m_answer));
+    m_state.metrics.recordFirstEvent(m_route->name, suspendAwareNow() - m_request.readAt);
+    m_reply.startStream(m_answer.status, forwardedResponseHeaders(m_answer));
 }
 
 attempt_result gateway_exchange::classify(upstream_end end) const
@@ -139,7 +139,7 @@
         return attempt_result::broken;
     if (m_answer.status == http_status::kMisdirectedRequest)
         return attempt_result::wrong_replica;
-    if (!m_answer.header(m_state.dialect.notRun).empty())
+    if (!m_answer.header(m_state.headerNames.notRun).empty())
         return attempt_result::not_run;
     if (m_answer.status >= kServerError)
         return attempt_result::server_error;
@@ -147,7 +147,7 @@
     if (m_hasBegun && !m_isStream)
         return attempt_result::unusable;
     const bool isWhole = m_body.size() <= kMostBodyBytes && m_answer.header("Content-Encoding").empty();
-    const bool isStamped = !m_answer.header(m_state.dialect.stamp).empty();
+    const bool isStamped = !m_answer.header(m_state.headerNames.stamp).empty();
     if (!isWhole || (isSuccess(m_answer.status) && !isStamped) || promisesNotRun(m_answer.status))
         return attempt_result::unusable;
     return attempt_result::answered;
@@ -157,17 +157,17 @@
 {
     const auto result = classify(end);
     m_mayHaveRun = m_mayHaveRun || !hasCertainlyNotRun(result);
-    noteAttempt(result);
+    recordAttempt(result);
     if (result == attempt_result::wrong_replica || result == attempt_result::not_connected)
         m_state.replicas.noteUnreachable(m_replica, suspendAwareNow());
     closeAttempt(result == attempt_result::answered);
     follow(result);
 }
 
-void gateway_exchange::noteAttempt(attempt_result result)
+void gateway_exchange::recordAttempt(attempt_result result)
 {
     const auto now = suspendAwareNow();
-    m_state.metrics.noteAttempt(m_service, m_replicaVersion, nameOf(result));
+    m_state.metrics.recordAttempt(m_service, m_replicaVersion, nameOf(result));
     noteVersionAnswer(result);
     if (result == attempt_result::answered)
         return;
@@ -254,7 +254,7 @@
         return refuse(refusal::failed);
     finish(m_answer.status, "answered");
     if (!m_isStream)
-        return m_reply.replyWhole(m_answer.status, answerHeaders(m_answer), m_body);
+        return m_reply.replyWhole(m_answer.status, forwardedResponseHeaders(m_answer), m_body);
     if (!m_hasBegun)
         beginStream();
     m_reply.streamBytes(m_events.rest());
@@ -267,7 +267,7 @@
     finish(row.status, row.reason);
     http_headers headers;
     if (!m_facts.id.empty())
-        headers.emplace_back(m_state.dialect.requestId, m_facts.id);
+        headers.emplace_back(m_state.headerNames.requestId, m_facts.id);
     if (row.asksToReturn)
         headers.emplace_back("Retry-After", retryAfter());
     m_reply.replyWhole(row.status, headers, {});
--- a/src/gateway_metrics.cpp
+++ b/src/gateway_metrics.cpp
@@ -68,8 +68,8 @@
 
 gateway_metrics::~gateway_metrics() = default;
 
-void gateway_metrics::noteRequest(std::string_view route, int status, std::string_view reason,
-                                  std::chrono::microseconds duration)
+void gateway_metrics::recordRequest(std::string_view route, int status, std::string_view reason,
+                                    std::chrono::microseconds duration)
 {
     const std::string name(route);
     m_impl->requests.Add({{"route", name}, {"status", std::to_string(status)}, {"reason", std::string(reason)}})
@@ -77,19 +77,19 @@
     m_impl->duration.Add({{"route", name}}, kDurationBounds).Observe(seconds(duration));
 }
 
-void gateway_metrics::noteFirstEvent(std::string_view route, std::chrono::microseconds duration)
+void gateway_metrics::recordFirstEvent(std::string_view route, std::chrono::microseconds duration)
 {
     m_impl->firstEvent.Add({{"route", std::string(route)}}, kDurationBounds).Observe(seconds(duration));
 }
 
-void gateway_metrics::noteAttempt(std::string_view service, std::string_view version, std::string_view result)
+void gateway_metrics::recordAttempt(std::string_view service, std::string_view version, std::string_view result)
 {
     m_impl->attempts
         .Add({{"service", std::string(service)}, {"version", std::string(version)}, {"result", std::string(result)}})
         .Increment();
 }
 
-void gateway_metrics::noteFeed(std::string_view type)
+void gateway_metrics::recordFeedEvent(std::string_view type)
 {
     m_impl->feed.Add({{"type", std::string(type)}}).Increment();
 }
--- a/src/gateway_metrics_p.h
+++ b/src/gateway_metrics_p.h
@@ -16,16 +16,16 @@
     ~gateway_metrics();
 
     /// Counts a finished request. @param duration from its arrival.
-    void noteRequest(std::string_view route, int status, std::string_view reason, std::chrono::microseconds duration);
+    void recordRequest(std::string_view route, int status, std::string_view reason, std::chrono::microseconds duration);
 
     /// Takes the time from a request's arrival to the first event of its stream.
-    void noteFirstEvent(std::string_view route, std::chrono::microseconds duration);
+    void recordFirstEvent(std::string_view route, std::chrono::microseconds duration);
 
     /// Counts an ended attempt at a replica.
-    void noteAttempt(std::string_view service, std::string_view version, std::string_view result);
+    void recordAttempt(std::string_view service, std::string_view version, std::string_view result);
 
     /// Counts a feed event: a dependency lost or regained, an entry that can't be used.
-    void noteFeed(std::string_view type);
+    void recordFeedEvent(std::string_view type);
 
     void setConfigVersion(generation_number version);
     void setConfigAge(std::chrono::microseconds age);
--- a/src/gateway_task.cpp
+++ b/src/gateway_task.cpp
@@ -19,16 +19,16 @@
 
 } // namespace
 
-gateway_task::gateway_task(event_loop &loop, gateway_settings settings, header_dialect dialect,
+gateway_task::gateway_task(event_loop &loop, gateway_settings settings, header_names headerNames,
                            std::string readinessPath)
     : m_loop(loop)
     , m_settings(std::move(settings))
-    , m_dialect(std::move(dialect))
+    , m_headerNames(std::move(headerNames))
     , m_readinessPath(std::move(readinessPath))
     , m_log(m_settings.host, m_settings.log, m_settings.logLinesPerSecond)
     , m_state{.loop = loop,
               .settings = m_settings,
-              .dialect = m_dialect,
+              .headerNames = m_headerNames,
               .log = m_log,
               .metrics = m_metrics,
               .config = nullptr,
@@ -38,7 +38,7 @@
               .budget = retry_budget({m_settings.retryRatio, m_settings.retryWindow, m_settings.retrySlack}),
               .rollouts = {},
               .ladder = {.confidenceToKeep = m_settings.confidenceToKeep, .startsSmall = m_settings.startsSmall},
-              .pool = {loop, m_dialect.requestId},
+              .pool = {loop, m_headerNames.requestId},
               .random = std::mt19937_64{std::random_device{}()}}
     , m_registry(m_settings.lapseGrace)
     , m_readiness(loop, [this](const http_exchange_ptr &exchange) { serveReadiness(exchange); })
@@ -132,7 +132,7 @@
 
 void gateway_task::noteRejected(int status, std::string_view reason)
 {
-    m_metrics.noteRequest("none", status, reason, std::chrono::microseconds{0});
+    m_metrics.recordRequest("none", status, reason, std::chrono::microseconds{0});
     m_log.write("request_rejected", {{"status", status}, {"reason", reason}}, log_subject::request);
 }
 
@@ -205,7 +205,7 @@
 
 void gateway_task::onFeedNote(std::string_view type, const std::string &subject, const std::string &detail)
 {
-    m_metrics.noteFeed(type);
+    m_metrics.recordFeedEvent(type);
     m_log.write(type, {{"subject", subject}, {"detail", detail}});
 }
 
@@ -272,7 +272,7 @@
     m_log.write("stop_begun", {{"connections", m_connections.size()}});
 }
 
-void gateway_task::noteReload()
+void gateway_task::logReload()
 {
     m_log.write("reload", {{"detail", "the settings file has changed; it holds from the next start"}});
 }
--- a/src/gateway_task_p.h
+++ b/src/gateway_task_p.h
@@ -15,7 +15,7 @@
 class gateway_task : private connection_owner, private fleet_listener
 {
 public:
-    gateway_task(event_loop &loop, gateway_settings settings, header_dialect dialect, std::string readinessPath);
+    gateway_task(event_loop &loop, gateway_settings settings, header_names headerNames, std::string readinessPath);
     ~gateway_task() override;
     gateway_task(const gateway_task &) = delete;
     gateway_task &operator=(const gateway_task &) = delete;
@@ -33,7 +33,7 @@
     [[nodiscard]] std::uint16_t readinessPort() const { return m_readinessPort; }
 
     /// Notes that the settings file has changed; new settings hold from the next start.
-    void noteReload();
+    void logReload();
 
 private:
     [[nodiscard]] const caller_limits &limits() const override;
@@ -78,7 +78,7 @@
 
     event_loop &m_loop;
     gateway_settings m_settings;
-    header_dialect m_dialect;
+    header_names m_headerNames;
     std::string m_readinessPath;
     decision_log m_log;
     gateway_metrics m_metrics;
--- a/src/header_dialect_p.h
+++ b/src/header_names_p.h
@@ -8,7 +8,7 @@
 namespace foxtaildyke
 {
 
-struct header_dialect {
+struct header_names {
     std::string requestId; ///< of one try of a caller; each try has its own
     std::string deadline; ///< ms that the sender will wait
     std::string model; ///< model that shall answer
--- a/src/http_parser.cpp
+++ b/src/http_parser.cpp
@@ -87,16 +87,16 @@
 {
     std::size_t used = 0;
     if (m_state == parse_state::head) {
-        used = takeHead(bytes);
+        used = consumeHead(bytes);
         if (stopAfterHead || m_state != parse_state::body)
             return used;
     }
     if (m_state == parse_state::body && used < bytes.size())
-        used += takeBody(bytes.substr(used), onBody);
+        used += consumeBody(bytes.substr(used), onBody);
     return used;
 }
 
-std::size_t http_parser::takeHead(std::string_view bytes)
+std::size_t http_parser::consumeHead(std::string_view bytes)
 {
     const auto before = m_headBytes.size();
     m_headBytes.append(bytes);
@@ -163,7 +163,7 @@
     return !(m_head.length && m_head.isChunked);
 }
 
-std::size_t http_parser::takeBody(std::string_view bytes, const body_sink &onBody)
+std::size_t http_parser::consumeBody(std::string_view bytes, const body_sink &onBody)
 {
     if (m_untilClose) {
         onBody(bytes);
--- a/src/http_parser_p.h
+++ b/src/http_parser_p.h
@@ -64,10 +64,10 @@
     [[nodiscard]] bool endsWithConnection() const { return m_untilClose; }
 
 private:
-    std::size_t takeHead(std::string_view bytes);
+    std::size_t consumeHead(std::string_view bytes);
     void parseHead();
     bool readFraming();
-    std::size_t takeBody(std::string_view bytes, const body_sink &onBody);
+    std::size_t consumeBody(std::string_view bytes, const body_sink &onBody);
     static htparse_hooks hooks();
 
     message_type m_type;
--- a/src/retry_budget.cpp
+++ b/src/retry_budget.cpp
@@ -15,7 +15,7 @@
         times.pop_front();
 }
 
-void retry_budget::noteRequest(const std::string &service, instant now)
+void retry_budget::recordRequest(const std::string &service, instant now)
 {
     auto &entry = m_counts[service];
     forget(entry.requests, now);
--- a/src/retry_budget_p.h
+++ b/src/retry_budget_p.h
@@ -31,7 +31,7 @@
     void setHosts(std::size_t hosts) { m_hosts = std::max(kAssumedHosts, hosts); }
 
     /// Counts a request of a service, when it arrives.
-    void noteRequest(const std::string &service, instant now);
+    void recordRequest(const std::string &service, instant now);
 
     /// Counts a repeat if the budget allows it.
     /// @returns whether it may be sent.
--- a/tests/gateway_harness.cpp
+++ b/tests/gateway_harness.cpp
@@ -72,13 +72,13 @@
         while (!stream.received().empty() && !isOpen) {
             const bool wasHead = parser.state() == parse_state::head;
             stream.drop(parser.feed(stream.received(), onBody, wasHead));
-            if (wasHead && parser.state() == parse_state::body && replica.answersHeads)
+            if (wasHead && parser.state() == parse_state::body && replica.respondsAfterHead)
                 stream.write(replica.m_answer({parser.head(), {}}).bytes);
             if (wasHead && parser.state() == parse_state::body)
                 continue;
             if (parser.state() != parse_state::complete)
                 return;
-            if (replica.answersHeads) {
+            if (replica.respondsAfterHead) {
                 replica.requests.push_back({parser.head(), std::exchange(body, {})});
                 parser.reset();
                 continue;
@@ -195,17 +195,17 @@
 void scripted_caller::onReadable()
 {
     const auto onBody = [this](std::string_view bytes) {
-        answers.back().body.append(bytes);
+        responses.back().body.append(bytes);
     };
     // Bytes that are no HTTP stay where they are; the last answer is then not whole.
     while (!m_socket->received().empty() && m_parser.state() != parse_state::malformed) {
         const bool wasHead = m_parser.state() == parse_state::head;
         m_socket->drop(m_parser.feed(m_socket->received(), onBody, wasHead));
         if (wasHead && m_parser.state() != parse_state::head)
-            answers.push_back({m_parser.head(), {}, false});
+            responses.push_back({m_parser.head(), {}, false});
         if (m_parser.state() != parse_state::complete)
             continue;
-        answers.back().isWhole = true;
+        responses.back().isComplete = true;
         m_parser.reset();
     }
 }
@@ -223,7 +223,7 @@
 }
 
 gateway_harness::gateway_harness(gateway_settings settings)
-    : task(loop, std::move(settings), platform::makeHeaderDialect(), platform::kReadinessPath)
+    : task(loop, std::move(settings), platform::makeHeaderNames(), platform::kReadinessPath)
 {
     std::signal(SIGPIPE, SIG_IGN); // as in the programs
     REQUIRE(task.start(feed).has_value());
@@ -280,7 +280,7 @@
         + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-std::string answerText(int status, const std::string &id, const std::string &body, const std::string &moreHeaders)
+std::string responseText(int status, const std::string &id, const std::string &body, const std::string &moreHeaders)
 {
     return "HTTP/1.1 " + std::to_string(status) + " X\r\nFoxtaildyke-Request-Id: " + id
         + "\r\nFoxtaildyke-Server-Stamp: stamp\r\n" + moreHeaders + "Content-Length: " + std::to_string(body.size())
@@ -300,13 +300,13 @@
     return text;
 }
 
-std::string streamText(const std::string &id, int first, int last, bool isWhole, const std::string &moreHeaders)
+std::string streamText(const std::string &id, int first, int last, bool isComplete, const std::string &moreHeaders)
 {
     std::string text = "HTTP/1.1 200 OK\r\nFoxtaildyke-Request-Id: " + id + "\r\nFoxtaildyke-Server-Stamp: stamp-" + id
         + "\r\nContent-Type: text/event-stream\r\n" + moreHeaders + "Transfer-Encoding: chunked\r\n\r\n";
     for (int event = first; event <= last; ++event)
         text += chunkText(eventsText(event, event));
-    return isWhole ? text + "0\r\n\r\n" : text;
+    return isComplete ? text + "0\r\n\r\n" : text;
 }
 
 } // namespace foxtaildyke
--- a/tests/gateway_harness.h
+++ b/tests/gateway_harness.h
@@ -44,7 +44,7 @@
 
     std::vector<received_request> requests; ///< all that were received
     std::size_t connectionsLost = 0; ///< closed by the gateway while a request was open
-    bool answersHeads = false; ///< answers before the body of a request is there, and reads on
+    bool respondsAfterHead = false; ///< answers before the body of a request is there, and reads on
     /// @returns bytes of answers that the gateway has not taken yet.
     [[nodiscard]] std::size_t pendingBytes() const;
     [[nodiscard]] replica_entry entry(const std::string &service, const std::string &version = "v1") const;
@@ -63,10 +63,10 @@
 };
 
 /// An answer as a caller received it.
-struct received_answer {
+struct received_response {
     message_head head;
     std::string body;
-    bool isWhole = false;
+    bool isComplete = false;
 };
 
 /// A caller's connection.
@@ -80,7 +80,7 @@
     /// Stops or resumes reading.
     void setReading(bool isOn) { m_socket->setReading(isOn); }
 
-    std::vector<received_answer> answers; ///< the last one may be incomplete
+    std::vector<received_response> responses; ///< the last one may be incomplete
     bool isClosed = false; ///< by the gateway
     [[nodiscard]] bool hasMalformed() const { return m_parser.state() == parse_state::malformed; }
 
@@ -122,14 +122,14 @@
                                       const std::string &moreHeaders = {}, const std::string &body = {});
 
 /// @returns a stamped answer with a length.
-[[nodiscard]] std::string answerText(int status, const std::string &id, const std::string &body,
-                                     const std::string &moreHeaders = {});
+[[nodiscard]] std::string responseText(int status, const std::string &id, const std::string &body,
+                                       const std::string &moreHeaders = {});
 
 /// @returns a refusal that states that the request has not run.
 [[nodiscard]] std::string notRunText(int status = 503);
 
 /// @returns a stamped event stream in chunks, with the events first to last; without its end where not whole.
-[[nodiscard]] std::string streamText(const std::string &id, int first, int last, bool isWhole = true,
+[[nodiscard]] std::string streamText(const std::string &id, int first, int last, bool isComplete = true,
                                      const std::string &moreHeaders = {});
 
 /// @returns the text of the events first to last.
--- a/tests/gateway_process.cpp
+++ b/tests/gateway_process.cpp
@@ -119,14 +119,15 @@
                {"born", startedAtMs}});
 }
 
-received_answer gateway_process::ask(const std::string &request)
+received_response gateway_process::sendRequest(const std::string &request)
 {
     scripted_caller caller(loop, callerPort);
     caller.send(request);
     runUntil([&] {
-        return caller.isClosed || caller.hasMalformed() || (!caller.answers.empty() && caller.answers[0].isWhole);
+        return caller.isClosed || caller.hasMalformed()
+            || (!caller.responses.empty() && caller.responses[0].isComplete);
     });
-    return caller.answers.empty() ? received_answer{} : caller.answers[0];
+    return caller.responses.empty() ? received_response{} : caller.responses[0];
 }
 
 http_reply gateway_process::get(std::uint16_t port, const std::string &path)
--- a/tests/gateway_process.h
+++ b/tests/gateway_process.h
@@ -36,7 +36,7 @@
                          const std::string &state = "ready", std::int64_t startedAtMs = 1'700'000'000'000);
 
     /// Sends a request on a new connection. @returns its answer, or one that is not whole where the connection ended.
-    received_answer ask(const std::string &request);
+    received_response sendRequest(const std::string &request);
     /// @returns the status of GET on the readiness address; 0: no answer.
     int readiness();
     /// @returns the text of the metrics address.
--- a/tests/test_gateway_decisions.cpp
+++ b/tests/test_gateway_decisions.cpp
@@ -111,7 +111,7 @@
         for (const int share : shares) {
             retry_budget budget(limits);
             for (int i = 0; i < share; ++i)
-                budget.noteRequest("s", 1s);
+                budget.recordRequest("s", 1s);
             requests += share;
             for (int i = 0; i < 500; ++i)
                 repeats += budget.takeRepeat("s", repeat_reason::failure, 2s) ? 1 : 0;
@@ -125,7 +125,7 @@
 {
     retry_budget budget({0.9, 10s, 0});
     for (int i = 0; i < 100; ++i)
-        budget.noteRequest("s", 1s);
+        budget.recordRequest("s", 1s);
     int escalations = 0;
     while (budget.takeRepeat("s", repeat_reason::escalation, 2s))
         ++escalations;
--- a/tests/test_gateway_path.cpp
+++ b/tests/test_gateway_path.cpp
@@ -8,12 +8,12 @@
 
 replica_script echoAnswer(const received_request &request)
 {
-    return {answerText(200, std::string(request.head.header("Foxtaildyke-Request-Id")), "whole body")};
+    return {responseText(200, std::string(request.head.header("Foxtaildyke-Request-Id")), "whole body")};
 }
 
 bool hasWholeAnswers(const scripted_caller &caller, std::size_t count)
 {
-    return caller.answers.size() >= count && caller.answers[count - 1].isWhole;
+    return caller.responses.size() >= count && caller.responses[count - 1].isComplete;
 }
 
 /// A gateway before one replica that never answers.
@@ -42,9 +42,9 @@
     caller.send(requestText("POST", "/once/a%20b?c=d&e", "id1",
                             "X-Own: kept\r\nFoxtaildyke-Pin-Ms: 99\r\nFoxtaildyke-Tenant: forged\r\n", "the body"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 1); }));
-    CHECK(caller.answers[0].head.status == 200);
-    CHECK(caller.answers[0].body == "whole body");
-    CHECK(caller.answers[0].head.header("Foxtaildyke-Server-Stamp") == "stamp");
+    CHECK(caller.responses[0].head.status == 200);
+    CHECK(caller.responses[0].body == "whole body");
+    CHECK(caller.responses[0].head.header("Foxtaildyke-Server-Stamp") == "stamp");
     REQUIRE(replica.requests.size() == 1);
     const auto &seen = replica.requests[0];
     CHECK(seen.head.method == "POST");
@@ -64,8 +64,8 @@
     scripted_caller early(net.loop, net.task.callerPort());
     early.send(requestText("GET", "/safe/x", "id0"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(early, 1); }));
-    CHECK(early.answers[0].head.status == 503); // no configuration is known yet
-    CHECK_FALSE(early.answers[0].head.header("Retry-After").empty());
+    CHECK(early.responses[0].head.status == 503); // no configuration is known yet
+    CHECK_FALSE(early.responses[0].head.header("Retry-After").empty());
 
     net.publish(gateway_harness::makeConfig());
     net.publishReplicas({replica.entry("s")});
@@ -91,7 +91,7 @@
         INFO(entry.request.substr(0, 60));
         caller.send(entry.request);
         REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 1); }));
-        CHECK(caller.answers[0].head.status == entry.status);
+        CHECK(caller.responses[0].head.status == entry.status);
     }
     CHECK(replica.requests.empty());
 }
@@ -108,15 +108,15 @@
     scripted_caller lost(net.loop, net.task.callerPort());
     lost.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(lost, 1); }));
-    CHECK(lost.answers[0].head.status == 502); // it may have run
+    CHECK(lost.responses[0].head.status == 502); // it may have run
     CHECK(one.requests.size() == 1);
 
     first.push_back({.bytes = notRunText()});
     scripted_caller shed(net.loop, net.task.callerPort());
     shed.send(requestText("POST", "/once/x", "id2"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(shed, 1); }));
-    CHECK(shed.answers[0].head.status == 503);
-    CHECK_FALSE(shed.answers[0].head.header("Retry-After").empty());
+    CHECK(shed.responses[0].head.status == 503);
+    CHECK_FALSE(shed.responses[0].head.header("Retry-After").empty());
     CHECK(one.requests.size() == 3); // the second try is allowed: the first has not run
 }
 
@@ -124,13 +124,13 @@
 {
     gateway_harness net;
     scripted_replica replica(net.loop, "r1",
-                             [](const received_request &) { return replica_script{answerText(503, "id1", "")}; });
+                             [](const received_request &) { return replica_script{responseText(503, "id1", "")}; });
     net.publish(gateway_harness::makeConfig());
     net.publishReplicas({replica.entry("s")});
     scripted_caller caller(net.loop, net.task.callerPort());
     caller.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 1); }));
-    CHECK(caller.answers[0].head.status == 502);
+    CHECK(caller.responses[0].head.status == 502);
     CHECK(replica.requests.size() == 1);
 }
 
@@ -149,11 +149,11 @@
         scripted_caller caller(net.loop, net.task.callerPort());
         caller.send(requestText("POST", "/once/x", id));
         REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 1); }));
-        return caller.answers[0].head.status;
+        return caller.responses[0].head.status;
     };
     bytes = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"; // without a stamp
     CHECK(statusOf("id1") == 502);
-    bytes = answerText(200, "id2", "zip", "Content-Encoding: gzip\r\n");
+    bytes = responseText(200, "id2", "zip", "Content-Encoding: gzip\r\n");
     CHECK(statusOf("id2") == 502);
     bytes = "bytes that are no answer\r\n\r\n";
     CHECK(statusOf("id3") == 502);
@@ -175,14 +175,14 @@
     gateway_harness net;
     scripted_replica replica(net.loop, "r1", [](const received_request &request) {
         const std::string id(request.head.header("Foxtaildyke-Request-Id"));
-        return replica_script{answerText(200, "another", "not yours") + answerText(200, id, "yours")};
+        return replica_script{responseText(200, "another", "not yours") + responseText(200, id, "yours")};
     });
     net.publish(gateway_harness::makeConfig());
     net.publishReplicas({replica.entry("s")});
     scripted_caller caller(net.loop, net.task.callerPort());
     caller.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 1); }));
-    CHECK(caller.answers[0].body == "yours");
+    CHECK(caller.responses[0].body == "yours");
 }
 
 TEST_CASE("gateway: a stream that breaks goes on at another replica without a missing or doubled event")
@@ -204,7 +204,7 @@
     scripted_caller caller(net.loop, net.task.callerPort());
     caller.send(requestText("POST", "/stream/x", "id1"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 1); }));
-    CHECK(caller.answers[0].body == eventsText(1, 9));
+    CHECK(caller.responses[0].body == eventsText(1, 9));
     CHECK(one.requests.size() + two.requests.size() + three.requests.size() == 3);
 }
 
@@ -221,8 +221,8 @@
     scripted_caller caller(net.loop, net.task.callerPort());
     caller.send(requestText("POST", "/stream/x", "id1"));
     REQUIRE(net.runUntil([&] { return caller.isClosed; }));
-    REQUIRE(caller.answers.size() == 1);
-    CHECK_FALSE(caller.answers[0].isWhole);
+    REQUIRE(caller.responses.size() == 1);
+    CHECK_FALSE(caller.responses[0].isComplete);
     CHECK(replica.requests.size() == 1);
 }
 
@@ -243,7 +243,7 @@
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 3); }));
     caller.send(requestText("POST", "/sized/x", "id1"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 4); }));
-    CHECK(caller.answers[3].body == eventsText(1, 2));
+    CHECK(caller.responses[3].body == eventsText(1, 2));
     REQUIRE(replica.requests.size() == 5);
     CHECK(replica.requests[3].head.header("Foxtaildyke-Model") == "small");
     CHECK(replica.requests[4].head.header("Foxtaildyke-Model") == "large");
@@ -263,7 +263,7 @@
     silent_site site;
     site.caller.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(site.runUntil([&] { return hasWholeAnswers(site.caller, 1); }));
-    CHECK(site.caller.answers[0].head.status == 504);
+    CHECK(site.caller.responses[0].head.status == 504);
 }
 
 TEST_CASE("gateway: keys are refused once the configuration may be too old")
@@ -280,14 +280,14 @@
     scripted_caller caller(net.loop, net.task.callerPort());
     caller.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 1); }));
-    CHECK(caller.answers[0].head.status == 503);
+    CHECK(caller.responses[0].head.status == 503);
     caller.send(requestText("GET", "/safe/x", "id2")); // a public route needs no key
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 2); }));
-    CHECK(caller.answers[1].head.status == 200);
+    CHECK(caller.responses[1].head.status == 200);
     net.feed.listener->onConfigConfirmed(suspendAwareNow());
     caller.send(requestText("POST", "/once/x", "id3"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 3); }));
-    CHECK(caller.answers[2].head.status == 200);
+    CHECK(caller.responses[2].head.status == 200);
 }
 
 TEST_CASE("gateway: a configuration never goes back")
@@ -302,7 +302,7 @@
     scripted_caller caller(net.loop, net.task.callerPort());
     caller.send(requestText("GET", "/safe/x", "id1"));
     REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, 1); }));
-    CHECK(caller.answers[0].head.status == 404);
+    CHECK(caller.responses[0].head.status == 404);
 }
 
 TEST_CASE("gateway: a kept connection is closed after a stream that began before the stop")
@@ -318,15 +318,15 @@
     REQUIRE(net.runUntil([&] { return replica.requests.size() == 1; }));
     net.task.stop();
     REQUIRE(net.runUntil([&] { return caller.isClosed; }));
-    REQUIRE(caller.answers.size() == 1);
-    CHECK(caller.answers[0].isWhole);
+    REQUIRE(caller.responses.size() == 1);
+    CHECK(caller.responses[0].isComplete);
 }
 
 TEST_CASE("gateway: a stop lets the request in flight end, then ends the loop")
 {
     gateway_harness net;
     scripted_replica replica(net.loop, "r1", [](const received_request &) {
-        return replica_script{.bytes = answerText(200, "id1", "late"), .delay = std::chrono::milliseconds(700)};
+        return replica_script{.bytes = responseText(200, "id1", "late"), .delay = std::chrono::milliseconds(700)};
     });
     net.publish(gateway_harness::makeConfig());
     net.publishReplicas({replica.entry("s")});
@@ -337,8 +337,8 @@
     net.task.stop();
     net.loop.run();
     REQUIRE(hasWholeAnswers(caller, 1));
-    CHECK(caller.answers[0].head.status == 200);
-    CHECK(caller.answers[0].head.header("Connection") == "close");
+    CHECK(caller.responses[0].head.status == 200);
+    CHECK(caller.responses[0].head.header("Connection") == "close");
 }
 
 TEST_CASE("gateway: the deadline handed on is what is left of the caller's and the route's")
@@ -348,7 +348,7 @@
     scripted_replica replica(net.loop, "r1", [&](const received_request &request) {
         deadlines.push_back(std::stoi(std::string(request.head.header("Foxtaildyke-Deadline-Ms"))));
         return deadlines.size() == 1 ? replica_script{.bytes = notRunText(), .delay = std::chrono::milliseconds(300)}
-                                     : replica_script{answerText(200, "id1", "")};
+                                     : replica_script{responseText(200, "id1", "")};
     });
     net.publish(gateway_harness::makeConfig());
     net.publishReplicas({replica.entry("s")});
@@ -371,7 +371,7 @@
     for (std::size_t i = 1; i <= 8; ++i) {
         caller.send(requestText("POST", "/once/x", "id" + std::to_string(i)));
         REQUIRE(net.runUntil([&] { return hasWholeAnswers(caller, i); }));
-        CHECK(caller.answers[i - 1].head.status == 200);
+        CHECK(caller.responses[i - 1].head.status == 200);
     }
     CHECK(wrong.requests.size() <= 1);
     CHECK(right.requests.size() == 8);
@@ -383,7 +383,7 @@
     const auto script = [](const received_request &request) {
         if (request.head.header("Last-Event-Id").empty())
             return replica_script{.bytes = streamText("id1", 1, 3, false), .resets = true};
-        return replica_script{answerText(404, "id1", "not a stream")};
+        return replica_script{responseText(404, "id1", "not a stream")};
     };
     scripted_replica one(net.loop, "r1", script);
     scripted_replica two(net.loop, "r2", script);
@@ -393,7 +393,7 @@
     caller.send(requestText("POST", "/stream/x", "id1"));
     REQUIRE(net.runUntil([&] { return caller.isClosed || caller.hasMalformed(); }));
     CHECK_FALSE(caller.hasMalformed());
-    REQUIRE(caller.answers.size() == 1);
-    CHECK_FALSE(caller.answers[0].isWhole);
-    CHECK(caller.answers[0].body == eventsText(1, 3));
+    REQUIRE(caller.responses.size() == 1);
+    CHECK_FALSE(caller.responses[0].isComplete);
+    CHECK(caller.responses[0].body == eventsText(1, 3));
 }
--- a/tools/gateway_main.cpp
+++ b/tools/gateway_main.cpp
@@ -47,10 +47,10 @@
         printError(program(), relay.error());
         return exit_code::failure;
     }
-    gateway_task task(loop, settings, platform::makeHeaderDialect(), platform::kReadinessPath);
+    gateway_task task(loop, settings, platform::makeHeaderNames(), platform::kReadinessPath);
     loop.onSignal(SIGTERM, [&task] { task.stop(); });
     loop.onSignal(SIGINT, [&task] { task.stop(); });
-    loop.onSignal(SIGHUP, [&task] { task.noteReload(); });
+    loop.onSignal(SIGHUP, [&task] { task.logReload(); });
     const auto started = task.start(feed);
     if (started.has_error()) {
         printError(program(), started.error());
