--- a/src/peer_wire.cpp
+++ b/src/peer_wire.cpp
@@ -44,7 +44,7 @@
     return {{wire.kind(), wire.version()}, {wire.passed(), wire.failed(), wire.dispatched(), wire.settled()}};
 }
 
-void writeVouches(const vouch_set &group, exchange_request &wire)
+void writeVouches(const acknowledgement_set &group, exchange_request &wire)
 {
     auto bytes = packBits(group.members);
     const auto first = std::min(bytes.find_first_not_of('\0'), bytes.size());
@@ -55,7 +55,7 @@
 }
 
 template <typename message>
-void writeShared(const shared_news &news, message &wire)
+void writeShared(const shared_updates &news, message &wire)
 {
     for (const auto &tally : news.tallies) {
         auto &target = *wire.add_tallies();
@@ -68,9 +68,9 @@
 }
 
 template <typename message>
-shared_news readShared(const message &wire)
+shared_updates readShared(const message &wire)
 {
-    shared_news news;
+    shared_updates news;
     for (const auto &tally : wire.tallies()) {
         news.tallies.push_back({tally.root(), {}});
         for (const auto &count : tally.counts())
@@ -121,14 +121,14 @@
     wire.set_host(call.host);
     wire.set_generation(call.generation);
     wire.set_echoed_clock_us(static_cast<std::uint64_t>(call.echoedClock.count()));
-    for (const auto &group : call.vouches)
+    for (const auto &group : call.acknowledgements)
         writeVouches(group, wire);
     wire.set_delta_sequence(call.deltaSequence);
     for (const auto &count : call.delta)
         writeCount(count, *wire.add_delta());
     writeShared(call.shared, wire);
     writeDemand(call.demand, *wire.mutable_demand());
-    wire.set_seen_news(call.seenNews);
+    wire.set_seen_news(call.seenUpdate);
     wire.set_probe(call.isProbe);
     writeConfig(call.config, wire);
     return wire;
@@ -141,52 +141,52 @@
     call.generation = wire.generation();
     call.echoedClock = instant(wire.echoed_clock_us());
     for (const auto &group : wire.vouches())
-        call.vouches.push_back({unpackBits(group.members(), group.skipped_bytes()), instant(group.lag_us())});
+        call.acknowledgements.push_back({unpackBits(group.members(), group.skipped_bytes()), instant(group.lag_us())});
     call.deltaSequence = wire.delta_sequence();
     for (const auto &count : wire.delta())
         call.delta.push_back(readCount(count));
     call.shared = readShared(wire);
     call.demand = readDemand(wire.demand());
-    call.seenNews = wire.seen_news();
+    call.seenUpdate = wire.seen_news();
     call.isProbe = wire.probe();
     call.config = readConfig(wire);
     return call;
 }
 
-exchange_reply toWire(const exchange_answer &answer)
+exchange_reply toWire(const exchange_response &answer)
 {
     exchange_reply wire;
     wire.set_generation(answer.generation);
     wire.set_clock_us(static_cast<std::uint64_t>(answer.clock.count()));
-    wire.set_held_us(static_cast<std::uint64_t>(answer.held.count()));
+    wire.set_held_us(static_cast<std::uint64_t>(answer.waitTime.count()));
     if (answer.stampAge)
         wire.set_stamp_age_us(static_cast<std::uint64_t>(std::max(answer.stampAge->count(), instant::rep{0})));
     writeConfig(answer.config, wire);
-    wire.set_taken_delta_sequence(answer.takenDeltaSequence);
+    wire.set_taken_delta_sequence(answer.appliedDeltaSequence);
     writeShared(answer.shared, wire);
     writeDemand(answer.demandTotals, *wire.mutable_demand_totals());
     if (answer.acknowledged)
         wire.set_acknowledged(packBits(*answer.acknowledged));
-    wire.set_news(answer.news);
+    wire.set_news(answer.lastUpdate);
     wire.set_unknown_child(answer.isUnknownChild);
     return wire;
 }
 
-exchange_answer fromWire(const exchange_reply &wire)
+exchange_response fromWire(const exchange_reply &wire)
 {
-    exchange_answer answer;
+    exchange_response answer;
     answer.generation = wire.generation();
     answer.clock = instant(wire.clock_us());
-    answer.held = instant(wire.held_us());
+    answer.waitTime = instant(wire.held_us());
     if (wire.has_stamp_age_us())
         answer.stampAge = instant(wire.stamp_age_us());
     answer.config = readConfig(wire);
-    answer.takenDeltaSequence = wire.taken_delta_sequence();
+    answer.appliedDeltaSequence = wire.taken_delta_sequence();
     answer.shared = readShared(wire);
     answer.demandTotals = readDemand(wire.demand_totals());
     if (wire.has_acknowledged())
         answer.acknowledged = unpackBits(wire.acknowledged());
-    answer.news = wire.news();
+    answer.lastUpdate = wire.news();
     answer.isUnknownChild = wire.unknown_child();
     return answer;
 }
--- a/src/peer_wire_p.h
+++ b/src/peer_wire_p.h
@@ -9,7 +9,7 @@
 
 [[nodiscard]] exchange_request toWire(const exchange_call &call);
 [[nodiscard]] exchange_call fromWire(const exchange_request &wire);
-[[nodiscard]] exchange_reply toWire(const exchange_answer &answer);
-[[nodiscard]] exchange_answer fromWire(const exchange_reply &wire);
+[[nodiscard]] exchange_reply toWire(const exchange_response &answer);
+[[nodiscard]] exchange_response fromWire(const exchange_reply &wire);
 
 } // namespace foxtaildyke
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -122,13 +122,13 @@
 
 void relay::noteUrgent(instant now)
 {
-    m_urgentNews = m_shared.news();
+    m_urgentNews = m_shared.lastUpdate();
     m_wantsCall = true;
     driveCalls(now);
     driveChildren(now);
 }
 
-bool relay::isStarving(instant now) const
+bool relay::lacksFreshStamp(instant now) const
 {
     const auto &stamp = m_fresh.currentStamp();
     const bool isHeld = stamp.generation != 0 && stamp.generation == m_fresh.generation();
@@ -192,7 +192,7 @@
     const call_token token{++m_lastCall};
     auto request = makeCall(now);
     auto &sent = m_calls[token];
-    sent = {.host = m_parent, .number = m_link.number, .sentAt = now, .sentNews = m_shared.news()};
+    sent = {.host = m_parent, .number = m_link.number, .sentAt = now, .sentNews = m_shared.lastUpdate()};
     sent.sentDemand = m_link.knownDemand;
     for (const auto &[account, demand] : request.demand)
         sent.sentDemand[account] = demand;
@@ -210,10 +210,10 @@
     // A parent that does not know this host answers at once and takes nothing; see takeFromChild().
     if (m_link.echo == instant{})
         return call;
-    call.seenNews = m_link.seenNews;
+    call.seenUpdate = m_link.seenUpdate;
     call.shared = m_shared.newsAfter(m_link.confirmedNews, m_link.number);
     call.demand = changedDemand(subtreeDemand(), m_link.knownDemand, demandDivisor());
-    call.vouches = makeVouches(now);
+    call.acknowledgements = makeVouches(now);
     auto delta = nextDelta();
     call.deltaSequence = delta.sequence;
     call.delta = std::move(delta.counts);
@@ -240,11 +240,11 @@
     });
 }
 
-std::vector<vouch_set> relay::makeVouches(instant now) const
+std::vector<acknowledgement_set> relay::makeVouches(instant now) const
 {
     // Two groups, so that one slow subtree does not make the vouches of the others old.
-    vouch_set recent{host_bits(m_vouchedAt.size())};
-    vouch_set old = recent;
+    acknowledgement_set recent{host_bits(m_vouchedAt.size())};
+    acknowledgement_set old = recent;
     const auto add = [&](std::size_t member, instant vouchedAt) {
         const auto lag = std::max(instant{}, m_link.echoReceivedAt - vouchedAt);
         auto &group = lag <= 2 * period() ? recent : old;
@@ -256,14 +256,14 @@
             add(i, m_vouchedAt[i]);
     if (m_self && m_fresh.mayVouch())
         add(*m_self, now);
-    std::vector<vouch_set> groups;
+    std::vector<acknowledgement_set> groups;
     for (auto *group : {&recent, &old})
         if (std::ranges::find(group->members, true) != group->members.end())
             groups.push_back(std::move(*group));
     return groups;
 }
 
-void relay::takeAnswer(call_token token, const result<exchange_answer> &answer, instant now)
+void relay::handleResponse(call_token token, const result<exchange_response> &answer, instant now)
 {
     const auto found = m_calls.find(token);
     if (found == m_calls.end())
@@ -284,7 +284,7 @@
     tick(now);
 }
 
-void relay::takeReply(const outgoing_call &sent, const exchange_answer &answer, instant now)
+void relay::takeReply(const outgoing_call &sent, const exchange_response &answer, instant now)
 {
     if (answer.isUnknownChild)
         restartLink();
@@ -295,17 +295,17 @@
     if (!answer.isUnknownChild) {
         m_link.confirmedNews = std::max(m_link.confirmedNews, sent.sentNews);
         m_link.knownDemand = sent.sentDemand;
-        m_deltas.confirm(answer.takenDeltaSequence);
+        m_deltas.confirm(answer.appliedDeltaSequence);
     }
     m_nextCallAt = std::min(m_nextCallAt, now + period() / kEarlyCallDivisor);
-    m_link.seenNews = std::max(m_link.seenNews, answer.news);
+    m_link.seenUpdate = std::max(m_link.seenUpdate, answer.lastUpdate);
     m_link.generation = answer.generation;
     // The stamp first: a host that adopts a generation passes it on at once, and dispatches under it from then on.
     takeStamp(sent, answer);
     takeConfig(answer.config, answer.generation);
     takeAcknowledged(answer);
     if (m_shared.merge(answer.shared, m_link.number, now)) {
-        m_urgentNews = m_shared.news();
+        m_urgentNews = m_shared.lastUpdate();
         releaseAll(now);
     }
     for (const auto &[account, demand] : answer.demandTotals)
@@ -318,15 +318,15 @@
         changeParent(std::exchange(m_betterParent, {}), now);
 }
 
-void relay::takeStamp(const outgoing_call &sent, const exchange_answer &answer)
+void relay::takeStamp(const outgoing_call &sent, const exchange_response &answer)
 {
     if (!answer.stampAge)
         return;
     // The parent cannot have received the call before it was sent.
-    m_fresh.stamp({answer.generation, sent.sentAt + answer.held - *answer.stampAge});
+    m_fresh.stamp({answer.generation, sent.sentAt + answer.waitTime - *answer.stampAge});
 }
 
-void relay::takeAcknowledged(const exchange_answer &answer)
+void relay::takeAcknowledged(const exchange_response &answer)
 {
     if (!answer.acknowledged || answer.generation != m_fresh.generation())
         return;
--- a/src/relay_children.cpp
+++ b/src/relay_children.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void relay::takeCall(answer_token token, const exchange_call &call, instant now)
+void relay::handleCall(response_token token, const exchange_call &call, instant now)
 {
     if (call.isProbe) {
         answerProbe(token, now);
@@ -46,7 +46,7 @@
     }
     from.lastCallAt = now;
     from.generation = call.generation;
-    from.seenNews = from.isUnknown ? 0 : call.seenNews;
+    from.seenUpdate = from.isUnknown ? 0 : call.seenUpdate;
     takeConfig(call.config, call.generation);
     if (m_shared.merge(call.shared, from.number, now))
         noteUrgent(now);
@@ -72,7 +72,7 @@
 {
     if (call.generation != m_fresh.generation())
         return;
-    for (const auto &group : call.vouches) {
+    for (const auto &group : call.acknowledgements) {
         const auto count = std::min(group.members.size(), m_vouchedAt.size());
         for (std::size_t i = 0; i < count; ++i)
             if (group.members[i])
@@ -82,43 +82,43 @@
 
 bool relay::hasNewsFor(const child_state &to) const
 {
-    return to.generation != m_fresh.generation() || to.seenNews < m_urgentNews;
+    return to.generation != m_fresh.generation() || to.seenUpdate < m_urgentNews;
 }
 
-void relay::answerProbe(answer_token token, instant now)
+void relay::answerProbe(response_token token, instant now)
 {
-    exchange_answer reply;
+    exchange_response reply;
     reply.generation = m_fresh.generation();
     reply.clock = now;
     const auto &stamp = m_fresh.currentStamp();
     if (stamp.generation != 0 && stamp.generation == reply.generation)
         reply.stampAge = now - stamp.currentAt;
-    m_actions.emplace_back(answer_exchange{token, std::move(reply)});
+    m_actions.emplace_back(respond_to_exchange{token, std::move(reply)});
 }
 
 void relay::answerChild(child_state &to, instant now)
 {
     const auto token = *std::exchange(to.held, std::nullopt);
-    m_actions.emplace_back(answer_exchange{token, makeAnswer(to, now)});
+    m_actions.emplace_back(respond_to_exchange{token, makeAnswer(to, now)});
 }
 
-exchange_answer relay::makeAnswer(child_state &to, instant now)
+exchange_response relay::makeAnswer(child_state &to, instant now)
 {
-    exchange_answer reply;
+    exchange_response reply;
     reply.generation = m_fresh.generation();
     // Each answer needs a clock value of its own, or the echo would not tell which one the child has.
     to.issuedBefore = to.issuedClock;
     to.issuedClock = std::max(now, to.issuedBefore + instant(1));
     reply.clock = to.issuedClock;
-    reply.held = now - to.heldSince;
+    reply.waitTime = now - to.heldSince;
     const auto &stamp = m_fresh.currentStamp();
     if (stamp.generation != 0 && stamp.generation == reply.generation)
         reply.stampAge = now - stamp.currentAt;
     if (to.generation < reply.generation)
         reply.config = m_hooks.configAfter(to.generation);
-    reply.takenDeltaSequence = to.takenSequence;
-    reply.shared = m_shared.newsAfter(to.seenNews, to.number);
-    reply.news = m_shared.news();
+    reply.appliedDeltaSequence = to.takenSequence;
+    reply.shared = m_shared.newsAfter(to.seenUpdate, to.number);
+    reply.lastUpdate = m_shared.lastUpdate();
     reply.demandTotals = changedDemand(m_totals, to.knownTotals, demandDivisor());
     to.sentTotals = to.knownTotals;
     for (const auto &[account, demand] : reply.demandTotals)
--- a/src/relay_choice.cpp
+++ b/src/relay_choice.cpp
@@ -27,11 +27,11 @@
     return found == m_relays.end() ? nullptr : &found->address;
 }
 
-void relay_choice::noteFailure(const http_endpoint &failed, bool isStoreLost, instant now)
+void relay_choice::recordFailure(const http_endpoint &failed, bool isStoreLost, instant now)
 {
     const auto found = std::ranges::find(m_relays, failed, &relay::address);
     if (found != m_relays.end())
-        found->heldUntil = now + (isStoreLost ? std::chrono::milliseconds{0} : kHold);
+        found->heldUntil = now + (isStoreLost ? std::chrono::milliseconds{0} : kFailureBackoff);
 }
 
 std::size_t relay_audience::size(instant now)
@@ -40,9 +40,9 @@
     return m_askedAt.size();
 }
 
-bool relay_audience::mayAnswer(std::optional<instant> confirmedAt, bool isWhole, instant now)
+bool relay_audience::mayRespond(std::optional<instant> confirmedAt, bool isWhole, instant now)
 {
-    return isWhole && confirmedAt && now - *confirmedAt <= kMostAge;
+    return isWhole && confirmedAt && now - *confirmedAt <= kMaxConfirmationAge;
 }
 
 } // namespace foxtaildyke
--- a/src/relay_choice_p.h
+++ b/src/relay_choice_p.h
@@ -25,30 +25,30 @@
 
     /// The relay gave no answer, or refused.
     /// @param isStoreLost this host can't read the store either, so that the relay isn't to blame.
-    void noteFailure(const http_endpoint &relay, bool isStoreLost, instant now);
+    void recordFailure(const http_endpoint &relay, bool isStoreLost, instant now);
 
     /// @param isUrgent the store is lost, or this host has just started.
     /// @returns the time until the next question to a relay that isn't followed.
-    [[nodiscard]] static std::chrono::milliseconds askPause(bool isUrgent)
+    [[nodiscard]] static std::chrono::milliseconds pollInterval(bool isUrgent)
     {
-        return isUrgent ? kUrgentAskPause : kAskPause;
+        return isUrgent ? kUrgentPollInterval : kPollInterval;
     }
 
     /// @param audience hosts that asked the relay lately.
     /// @returns whether to follow it.
-    [[nodiscard]] static bool isWorthFollowing(std::size_t audience) { return audience >= kLeastAudience; }
+    [[nodiscard]] static bool shouldFollow(std::size_t audience) { return audience >= kMinAudience; }
 
     /// Hosts of one relay from which on they follow it. Up to about 20 hosts with three relays read the store
     /// themselves: their reads cost under 0.02 of what is owed, and nothing stands between them and the store.
-    static constexpr std::size_t kLeastAudience = 6;
+    static constexpr std::size_t kMinAudience = 6;
     /// Time for which a relay that failed isn't asked.
-    static constexpr std::chrono::seconds kHold{3};
+    static constexpr std::chrono::seconds kFailureBackoff{3};
     /// Time between two questions to a relay that isn't followed.
-    static constexpr std::chrono::milliseconds kAskPause{1500};
+    static constexpr std::chrono::milliseconds kPollInterval{1500};
     /// The same while the store is lost, when relays look for it and tell the others within this time; and after the
     /// start, when replicas register one after the other and each costs a call of the store.
-    static constexpr std::chrono::milliseconds kUrgentAskPause{300};
-    static constexpr std::chrono::seconds kStart{5};
+    static constexpr std::chrono::milliseconds kUrgentPollInterval{300};
+    static constexpr std::chrono::seconds kStartupPhase{5};
 
 private:
     struct relay {
@@ -63,7 +63,7 @@
 class relay_audience
 {
 public:
-    void note(const std::string &host, instant now) { m_askedAt[host] = now; }
+    void recordQuery(const std::string &host, instant now) { m_askedAt[host] = now; }
 
     /// @returns hosts that asked lately.
     [[nodiscard]] std::size_t size(instant now);
@@ -71,13 +71,13 @@
     /// @param confirmedAt when the configuration was last known to be the newest.
     /// @param isWhole all that is followed was read, and no call to the store has failed since.
     /// @returns whether what the relay holds is fresh enough for others.
-    [[nodiscard]] static bool mayAnswer(std::optional<instant> confirmedAt, bool isWhole, instant now);
+    [[nodiscard]] static bool mayRespond(std::optional<instant> confirmedAt, bool isWhole, instant now);
 
     /// Age of the store's last answer at which a relay stops to answer. With the wait of a host's call it stays below
     /// the least time in which the users' replicas leave (2 s).
-    static constexpr std::chrono::milliseconds kMostAge{1300};
+    static constexpr std::chrono::milliseconds kMaxConfirmationAge{1300};
     /// Longest wait of a relay's watch of the configuration, so that its answers are young enough.
-    static constexpr std::chrono::milliseconds kWatchWait{800};
+    static constexpr std::chrono::milliseconds kMaxWatchWait{800};
 
 private:
     static constexpr std::chrono::seconds kMemory{10};
--- a/src/relay_p.h
+++ b/src/relay_p.h
@@ -27,10 +27,10 @@
 using host_bits = std::vector<bool>;
 
 /// Vouches of several hosts for the generation of the message.
-struct vouch_set {
+struct acknowledgement_set {
     host_bits members; ///< trailing false bits may be left out
     instant lag{}; ///< how long before the receipt of the echoed clock value the oldest of them was made
-    bool operator==(const vouch_set &) const = default;
+    bool operator==(const acknowledgement_set &) const = default;
 };
 
 /// Demand of client accounts in thousandths of requests per second.
@@ -53,28 +53,28 @@
     std::string host;
     generation_number generation = 0;
     instant echoedClock{};
-    std::vector<vouch_set> vouches;
+    std::vector<acknowledgement_set> acknowledgements;
     std::uint64_t deltaSequence = 0;
     std::vector<shared_count> delta;
-    shared_news shared;
+    shared_updates shared;
     demand_map demand;
-    news_number seenNews = 0;
+    update_sequence seenUpdate = 0;
     bool isProbe = false;
     config_content config;
 };
 
 /// From a parent to its child. Fields as in exchange_reply of proto/peer.proto.
-struct exchange_answer {
+struct exchange_response {
     generation_number generation = 0;
     instant clock{};
-    instant held{};
+    instant waitTime{};
     std::optional<instant> stampAge;
     config_content config;
-    std::uint64_t takenDeltaSequence = 0;
-    shared_news shared;
+    std::uint64_t appliedDeltaSequence = 0;
+    shared_updates shared;
     demand_map demandTotals;
     std::optional<host_bits> acknowledged;
-    news_number news = 0;
+    update_sequence lastUpdate = 0;
     bool isUnknownChild = false;
 };
 
@@ -82,21 +82,21 @@
 enum class call_token : std::uint64_t {};
 
 /// Identifies a call that another host made and that waits for its answer.
-enum class answer_token : std::uint64_t {};
+enum class response_token : std::uint64_t {};
 
-/// The owner has to call Exchange on a host and to hand the result to relay::takeAnswer().
+/// The owner has to call Exchange on a host and to hand the result to relay::handleResponse().
 struct start_exchange {
     call_token call{};
     std::string host;
     exchange_call request;
     std::chrono::milliseconds timeout{};
 };
-/// The owner has to answer a call that it handed to relay::takeCall().
-struct answer_exchange {
-    answer_token call{};
-    exchange_answer reply;
+/// The owner has to answer a call that it handed to relay::handleCall().
+struct respond_to_exchange {
+    response_token call{};
+    exchange_response response;
 };
-using relay_action = std::variant<start_exchange, answer_exchange>;
+using relay_action = std::variant<start_exchange, respond_to_exchange>;
 
 /// The configuration as far as the relay needs it.
 struct relay_members {
@@ -132,8 +132,8 @@
     void addQuarantined(std::uint64_t fingerprint, instant now);
 
     // Exchange.
-    void takeCall(answer_token token, const exchange_call &call, instant now);
-    void takeAnswer(call_token token, const result<exchange_answer> &answer, instant now);
+    void handleCall(response_token token, const exchange_call &call, instant now);
+    void handleResponse(call_token token, const result<exchange_response> &answer, instant now);
 
     /// Drives the exchange; to be called at nextTimer() at the latest.
     void tick(instant now);
@@ -144,7 +144,7 @@
     [[nodiscard]] bool isRoot() const { return m_state == tree_state::root; }
 
     /// @returns whether the parent leaves this host without a fresh stamp: it reads the store as well, less often.
-    [[nodiscard]] bool isStarving(instant now) const;
+    [[nodiscard]] bool lacksFreshStamp(instant now) const;
     [[nodiscard]] const std::string &parent() const { return m_parent; }
 
     // What all hosts share.
@@ -174,14 +174,14 @@
         std::uint64_t takenSequence = 0;
         demand_map demand;
         // What the answer at issuedClock brought, and what the child is known to have.
-        news_number sentAcknowledged = 0;
-        news_number knownAcknowledged = 0;
+        update_sequence sentAcknowledged = 0;
+        update_sequence knownAcknowledged = 0;
         demand_map sentTotals;
         demand_map knownTotals;
         // The call that waits, if any.
-        std::optional<answer_token> held;
+        std::optional<response_token> held;
         instant heldSince{};
-        news_number seenNews = 0; ///< of the last call
+        update_sequence seenUpdate = 0; ///< of the last call
         bool isUnknown = false;
     };
     /// State kept for the link to the parent.
@@ -189,8 +189,8 @@
         link_number number = kNoLink;
         instant echo{}; ///< the parent's clock in its newest answer; 0 before the first
         instant echoReceivedAt{};
-        news_number seenNews = 0;
-        news_number confirmedNews = 0; ///< of this host's shared state, known to the parent
+        update_sequence seenUpdate = 0;
+        update_sequence confirmedNews = 0; ///< of this host's shared state, known to the parent
         generation_number generation = 0; ///< that the parent holds
         demand_map knownDemand;
     };
@@ -200,7 +200,7 @@
         bool isProbe = false;
         link_number number = kNoLink;
         instant sentAt{};
-        news_number sentNews = 0;
+        update_sequence sentNews = 0;
         demand_map sentDemand;
         bool hadConfig = false;
     };
@@ -209,11 +209,11 @@
     void driveCalls(instant now);
     void startCall(instant now);
     [[nodiscard]] exchange_call makeCall(instant now);
-    [[nodiscard]] std::vector<vouch_set> makeVouches(instant now) const;
+    [[nodiscard]] std::vector<acknowledgement_set> makeVouches(instant now) const;
     [[nodiscard]] delta_queue::delta nextDelta();
-    void takeReply(const outgoing_call &sent, const exchange_answer &answer, instant now);
-    void takeStamp(const outgoing_call &sent, const exchange_answer &answer);
-    void takeAcknowledged(const exchange_answer &answer);
+    void takeReply(const outgoing_call &sent, const exchange_response &answer, instant now);
+    void takeStamp(const outgoing_call &sent, const exchange_response &answer);
+    void takeAcknowledged(const exchange_response &answer);
     void restartLink();
     [[nodiscard]] std::size_t callsToParent() const;
 
@@ -232,11 +232,11 @@
     void takeVouches(const exchange_call &call);
     void takeConfig(const config_content &config, generation_number generation);
     void answerChild(child_state &to, instant now);
-    void answerProbe(answer_token token, instant now);
+    void answerProbe(response_token token, instant now);
     void driveChildren(instant now);
     void releaseAll(instant now);
     [[nodiscard]] bool hasNewsFor(const child_state &to) const;
-    [[nodiscard]] exchange_answer makeAnswer(child_state &to, instant now);
+    [[nodiscard]] exchange_response makeAnswer(child_state &to, instant now);
     void settleAsRoot(instant now);
     void updateAcknowledged(instant now);
     void noteUrgent(instant now);
@@ -260,14 +260,14 @@
     std::map<count_key, count_values> m_others; ///< never shrinks
     demand_map m_demand; ///< of this host
     demand_map m_totals; ///< of all hosts, or of the subtree where this host is a root
-    news_number m_urgentNews = 0; ///< news up to which waiting calls are answered at once
+    update_sequence m_urgentNews = 0; ///< news up to which waiting calls are answered at once
     std::uint64_t m_ticks = 0; ///< exchange periods that have passed
     instant m_nextPeriodAt{};
 
     // Vouches and acknowledgements; both by member, for the held generation.
     std::vector<instant> m_vouchedAt;
     host_bits m_acknowledged;
-    news_number m_acknowledgedNews = 1; ///< raised by each change of m_acknowledged
+    update_sequence m_acknowledgedNews = 1; ///< raised by each change of m_acknowledged
     bool m_reportsSubtree = false; ///< the parent still has to be told that the whole subtree holds the generation
 
     // Tree.
--- a/src/relay_search.cpp
+++ b/src/relay_search.cpp
@@ -70,7 +70,7 @@
     }
     const auto position = static_cast<std::size_t>(std::ranges::find(possible, m_parent) - possible.begin());
     // A parent without a fresh stamp may be cut off while others are not.
-    if (isStarving(now))
+    if (lacksFreshStamp(now))
         startProbes(0, std::max(firstRound(), position), now);
     else if (position > 0)
         startProbes(0, std::min(firstRound(), position), now);
--- a/src/relay_shared.cpp
+++ b/src/relay_shared.cpp
@@ -67,7 +67,7 @@
     dropOldestTally();
 }
 
-bool shared_state::merge(const shared_news &news, link_number link, instant now)
+bool shared_state::merge(const shared_updates &news, link_number link, instant now)
 {
     for (const auto &tally : news.tallies) {
         for (const auto &count : tally.counts) {
@@ -96,7 +96,7 @@
 
 void shared_state::dropOldestTally()
 {
-    std::map<tally_id, news_number> newest;
+    std::map<tally_id, update_sequence> newest;
     for (const auto &[key, entry] : m_counts)
         newest[key.first] = std::max(newest[key.first], entry.state.changed);
     if (newest.size() <= kMaxTallies)
@@ -120,12 +120,12 @@
     std::erase_if(m_quarantined, [before](const auto &pair) { return pair.second.learntAt < before; });
 }
 
-shared_news shared_state::newsAfter(news_number seen, link_number link) const
+shared_updates shared_state::newsAfter(update_sequence seen, link_number link) const
 {
     const auto isWanted = [seen, link](const item &state) {
         return state.changed > seen && (link == kNoLink || state.link != link);
     };
-    shared_news news;
+    shared_updates news;
     for (const auto &[key, entry] : m_counts) {
         if (!isWanted(entry.state))
             continue;
--- a/src/relay_shared_p.h
+++ b/src/relay_shared_p.h
@@ -38,7 +38,7 @@
 };
 
 /// Part of the shared state that one side of a link sends to the other.
-struct shared_news {
+struct shared_updates {
     std::vector<shared_tally> tallies;
     std::vector<std::string> haltedVersions;
     std::vector<std::uint64_t> quarantined;
@@ -46,7 +46,7 @@
 };
 
 /// Position in the order of changes of one host's shared state.
-using news_number = std::uint64_t;
+using update_sequence = std::uint64_t;
 
 /// Which link an item came over; it is not sent back over the same link.
 using link_number = std::uint64_t;
@@ -69,7 +69,7 @@
 
     /// Takes what the other side of a link sent.
     /// @returns whether a halt or a quarantine was new.
-    bool merge(const shared_news &news, link_number link, instant now);
+    bool merge(const shared_updates &news, link_number link, instant now);
 
     bool halt(const std::string &version);
     bool addQuarantined(std::uint64_t fingerprint, instant now);
@@ -78,9 +78,9 @@
     void expireQuarantined(instant before);
 
     /// @returns what changed after `seen` and did not come over `link`.
-    [[nodiscard]] shared_news newsAfter(news_number seen, link_number link) const;
+    [[nodiscard]] shared_updates newsAfter(update_sequence seen, link_number link) const;
 
-    [[nodiscard]] news_number news() const { return m_news; }
+    [[nodiscard]] update_sequence lastUpdate() const { return m_news; }
 
     /// @returns the sums over all tallies.
     [[nodiscard]] std::map<count_key, count_values> totals() const;
@@ -90,7 +90,7 @@
 
 private:
     struct item {
-        news_number changed = 0;
+        update_sequence changed = 0;
         link_number link = kNoLink;
         instant learntAt{};
     };
@@ -105,7 +105,7 @@
     void dropOldestTally();
 
     tally_id m_ownTally;
-    news_number m_news = 0; ///< raised by every change that is sent on
+    update_sequence m_news = 0; ///< raised by every change that is sent on
     std::uint32_t m_dampingDivisor = 0;
     std::map<tally_key, count_item> m_counts;
     std::map<std::string, item> m_halted;
--- a/src/relay_task.cpp
+++ b/src/relay_task.cpp
@@ -95,9 +95,9 @@
 {
     if (auto *call = std::get_if<start_exchange>(&action))
         return carryOut(*call);
-    const auto &answer = std::get<answer_exchange>(action);
+    const auto &answer = std::get<respond_to_exchange>(action);
     if (auto waiting = m_answers.extract(answer.call))
-        waiting.mapped()(toWire(answer.reply));
+        waiting.mapped()(toWire(answer.response));
 }
 
 void relay_task::carryOut(start_exchange &action)
@@ -105,13 +105,13 @@
     const auto token = action.call;
     const auto to = endpointOf(action.host);
     if (!to) {
-        m_relay.takeAnswer(token, error{error_code::not_found, action.host}, event_loop::now());
+        m_relay.handleResponse(token, error{error_code::not_found, action.host}, event_loop::now());
         return;
     }
     m_peers.exchange(*to, toWire(action.request), action.timeout, [this, token](const result<exchange_reply> &reply) {
-        const auto answer = reply.has_error() ? result<exchange_answer>(reply.error())
-                                              : result<exchange_answer>(fromWire(reply.value()));
-        m_relay.takeAnswer(token, answer, event_loop::now());
+        const auto answer = reply.has_error() ? result<exchange_response>(reply.error())
+                                              : result<exchange_response>(fromWire(reply.value()));
+        m_relay.handleResponse(token, answer, event_loop::now());
         drive();
     });
 }
@@ -142,7 +142,7 @@
 void relay_task::readStore(instant now)
 {
     const bool isRoot = m_relay.isRoot();
-    const bool isNeeded = isRoot || m_fresh.isRecovering() || m_relay.isStarving(now);
+    const bool isNeeded = isRoot || m_fresh.isRecovering() || m_relay.lacksFreshStamp(now);
     if (m_isReading || now < m_nextRead || !(isNeeded || now >= m_nextSample))
         return;
     m_nextRead = now + (isRoot ? kRootReadPeriod : kStarvingReadPeriod);
@@ -245,9 +245,9 @@
 {
     peer_handlers handlers;
     handlers.exchange = [this](const exchange_request &request, peer_reply<exchange_reply> reply) {
-        const answer_token token{++m_lastAnswer};
+        const response_token token{++m_lastAnswer};
         m_answers[token] = std::move(reply);
-        m_relay.takeCall(token, fromWire(request), event_loop::now());
+        m_relay.handleCall(token, fromWire(request), event_loop::now());
         drive();
     };
     handlers.recover = [this](const recover_request &request, const peer_reply<recover_reply> &reply) {
--- a/src/relay_task_p.h
+++ b/src/relay_task_p.h
@@ -98,7 +98,7 @@
     instant m_nextRecover{};
     std::string m_rejectedField; ///< of the last configuration that could not be used
     std::uint64_t m_lastAnswer = 0;
-    std::map<answer_token, peer_reply<exchange_reply>> m_answers; ///< calls of children that wait
+    std::map<response_token, peer_reply<exchange_reply>> m_answers; ///< calls of children that wait
     std::vector<waiting_status> m_waitingStatus;
 
     // What the core was told last.
--- a/tests/relay_bus.cpp
+++ b/tests/relay_bus.cpp
@@ -36,7 +36,7 @@
     std::unique_ptr<relay> tree;
     instant nextStoreRead{};
     instant nextWake{};
-    std::map<answer_token, std::function<void(const exchange_answer &)>> answers;
+    std::map<response_token, std::function<void(const exchange_response &)>> answers;
     std::uint64_t lastAnswer = 0;
     std::set<std::size_t> askedToRecover;
 };
@@ -141,8 +141,8 @@
 {
     auto &state = *m_hosts[host];
     const auto clock = clockOf(host);
-    const bool isStarving = state.tree->isStarving(clock);
-    if (clock >= state.nextStoreRead && (state.tree->isRoot() || state.fresh.isRecovering() || isStarving)) {
+    const bool lacksFreshStamp = state.tree->lacksFreshStamp(clock);
+    if (clock >= state.nextStoreRead && (state.tree->isRoot() || state.fresh.isRecovering() || lacksFreshStamp)) {
         state.nextStoreRead = clock + (state.tree->isRoot() ? kStoreReadPeriod : kStarvingReadPeriod);
         readStore(host);
     }
@@ -182,11 +182,11 @@
             sendCall(host, *call);
             continue;
         }
-        const auto &answer = std::get<answer_exchange>(action);
+        const auto &answer = std::get<respond_to_exchange>(action);
         const auto found = state.answers.find(answer.call);
         if (found == state.answers.end())
             continue;
-        found->second(answer.reply);
+        found->second(answer.response);
         state.answers.erase(found);
     }
 }
@@ -222,8 +222,8 @@
         return;
     m_counts[to].bytes += bytes.size();
     auto &state = *m_hosts[to];
-    const answer_token token{++state.lastAnswer};
-    state.answers[token] = [this, from, to, incarnation, call](const exchange_answer &reply) {
+    const response_token token{++state.lastAnswer};
+    state.answers[token] = [this, from, to, incarnation, call](const exchange_response &reply) {
         auto text = toWire(reply).SerializeAsString();
         ++m_counts[to].messages;
         m_counts[to].bytes += text.size();
@@ -238,16 +238,16 @@
     };
     exchange_request wire;
     wire.ParseFromString(bytes);
-    state.tree->takeCall(token, fromWire(wire), clockOf(to));
+    state.tree->handleCall(token, fromWire(wire), clockOf(to));
     dispatchActions(to);
 }
 
 void relay_bus::finishCall(std::size_t host, std::uint32_t incarnation, call_token call,
-                           const result<exchange_answer> &reply)
+                           const result<exchange_response> &reply)
 {
     if (!m_hosts[host] || m_incarnations[host] != incarnation)
         return;
-    m_hosts[host]->tree->takeAnswer(call, reply, clockOf(host));
+    m_hosts[host]->tree->handleResponse(call, reply, clockOf(host));
     dispatchActions(host);
 }
 
--- a/tests/relay_bus.h
+++ b/tests/relay_bus.h
@@ -61,7 +61,8 @@
     void dispatchActions(std::size_t host);
     void sendCall(std::size_t host, const start_exchange &action);
     void arrive(std::size_t from, std::size_t to, std::uint32_t incarnation, call_token call, const std::string &bytes);
-    void finishCall(std::size_t host, std::uint32_t incarnation, call_token call, const result<exchange_answer> &reply);
+    void finishCall(std::size_t host, std::uint32_t incarnation, call_token call,
+                    const result<exchange_response> &reply);
     void readStore(std::size_t host);
     void wake(std::size_t host);
     void adopt(std::size_t host, const config_content &config);
--- a/tests/test_feed_relay.cpp
+++ b/tests/test_feed_relay.cpp
@@ -88,14 +88,14 @@
     relay_choice other("b", {kOne, kTwo}, {"10.0.0.3", 7});
     REQUIRE(other.next(1s));
     const auto first = *other.next(1s);
-    other.noteFailure(first, false, 1s);
+    other.recordFailure(first, false, 1s);
     REQUIRE(other.next(2s));
     const auto second = *other.next(2s);
     CHECK(second != first);
-    other.noteFailure(second, false, 2s);
+    other.recordFailure(second, false, 2s);
     CHECK(other.next(3s) == nullptr); // it reads the store
-    CHECK(*other.next(1s + relay_choice::kHold) == first);
-    other.noteFailure(first, true, 4s);
+    CHECK(*other.next(1s + relay_choice::kFailureBackoff) == first);
+    other.recordFailure(first, true, 4s);
     CHECK(*other.next(4s) == first); // it will know first that the store is back
     CHECK(relay_choice("c", {}, kOne).next(1s) == nullptr);
     int onFirst = 0;
@@ -109,18 +109,18 @@
 {
     relay_audience audience;
     for (int i = 0; i < 5; ++i)
-        audience.note("host-" + std::to_string(i), 1s);
-    CHECK_FALSE(relay_choice::isWorthFollowing(audience.size(2s)));
-    audience.note("host-0", 2s);
-    CHECK_FALSE(relay_choice::isWorthFollowing(audience.size(2s)));
-    audience.note("host-5", 2s);
-    CHECK(relay_choice::isWorthFollowing(audience.size(2s)));
-    CHECK_FALSE(relay_choice::isWorthFollowing(audience.size(11'500ms))); // hosts that have gone
-
-    CHECK(relay_audience::mayAnswer(10s, true, 10s + relay_audience::kMostAge));
-    CHECK_FALSE(relay_audience::mayAnswer(10s, true, 10'001ms + relay_audience::kMostAge));
-    CHECK_FALSE(relay_audience::mayAnswer(10s, false, 10s));
-    CHECK_FALSE(relay_audience::mayAnswer(std::nullopt, true, 10s));
+        audience.recordQuery("host-" + std::to_string(i), 1s);
+    CHECK_FALSE(relay_choice::shouldFollow(audience.size(2s)));
+    audience.recordQuery("host-0", 2s);
+    CHECK_FALSE(relay_choice::shouldFollow(audience.size(2s)));
+    audience.recordQuery("host-5", 2s);
+    CHECK(relay_choice::shouldFollow(audience.size(2s)));
+    CHECK_FALSE(relay_choice::shouldFollow(audience.size(11'500ms))); // hosts that have gone
+
+    CHECK(relay_audience::mayRespond(10s, true, 10s + relay_audience::kMaxConfirmationAge));
+    CHECK_FALSE(relay_audience::mayRespond(10s, true, 10'001ms + relay_audience::kMaxConfirmationAge));
+    CHECK_FALSE(relay_audience::mayRespond(10s, false, 10s));
+    CHECK_FALSE(relay_audience::mayRespond(std::nullopt, true, 10s));
 }
 
 TEST_CASE("kind mirror: changes since a revision, or the whole list where they are forgotten")
@@ -228,7 +228,7 @@
 TEST_CASE("feed relay: a few hosts read the store themselves")
 {
     relayed_hosts net(3);
-    net.runFor(2 * relay_choice::kAskPause + 500ms);
+    net.runFor(2 * relay_choice::kPollInterval + 500ms);
     for (const auto &host : net.hosts)
         CHECK_FALSE(host->seen.hasNote("relay_followed 127.0.0.1"));
     net.store.put("servers", "later", replicaSpec());
