--- a/src/forwarding_p.h
+++ b/src/forwarding_p.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "caller_connection_p.h"
-#include "header_dialect_p.h"
+#include "header_names_p.h"
 
 #include <span>
 
@@ -11,7 +11,7 @@
 {
 
 /// What the gateway reads of a request's headers.
-struct request_facts {
+struct request_metadata {
     std::string id; ///< empty: missing
     std::string key; ///< API key; empty: none
     std::string host;
@@ -20,12 +20,12 @@
     std::optional<std::uint64_t> lastEventId; ///< the caller resumes a stream after this event
     std::uint64_t promptTokens = 0; ///< shared ones included
     std::uint64_t sharedTokens = 0; ///< of the parts that other requests share
-    std::uint64_t answerTokens = 0; ///< estimate, or the most
+    std::uint64_t outputTokens = 0; ///< estimate, or the most
     std::uint64_t sharedPrefixHash = 0; ///< hash of the prompt's parts that other requests share; 0: none
     std::uint64_t session = 0; ///< hash of the session's name, or of the id where there is none
 };
 
-[[nodiscard]] request_facts readFacts(const message_head &head, const header_dialect &dialect);
+[[nodiscard]] request_metadata parseRequestHeaders(const message_head &head, const header_names &headerNames);
 
 /// What the gateway sets on a forwarded request.
 struct forward_fields {
@@ -39,9 +39,9 @@
 
 /// @returns the head of the forwarded request, with the blank line at its end.
 [[nodiscard]] std::string forwardedHead(const caller_request &request, const forward_fields &fields,
-                                        const header_dialect &dialect);
+                                        const header_names &headerNames);
 
 /// @returns the headers of an answer that go on to the caller.
-[[nodiscard]] http_headers answerHeaders(const message_head &answer);
+[[nodiscard]] http_headers forwardedResponseHeaders(const message_head &answer);
 
 } // namespace foxtaildyke
--- a/src/gateway_exchange_responses.cpp
+++ b/src/gateway_exchange_responses.cpp
@@ -59,13 +59,13 @@
 {
     m_firstByteAt = suspendAwareNow();
     m_answer = head;
-    m_state.replicas.noteFirstByte(m_replica, std::exchange(m_promptMs, 0));
+    m_state.replicas.recordFirstByte(m_replica, std::exchange(m_promptMs, 0));
     const bool isUsable = !head.header(m_state.headerNames.stamp).empty() && head.header("Content-Encoding").empty();
     if (!isSuccess(head.status) || !isUsable)
         return;
     if (const auto model = escalation(head))
         return escalate(*model);
-    m_isStream = m_route->repeats == repeat_rule::stream;
+    m_isStream = m_route->retryRule == retry_rule::stream;
 }
 
 std::optional<std::size_t> gateway_exchange::escalation(const message_head &head) const
@@ -82,7 +82,7 @@
     step.objective = m_route->objective;
     const auto next = nextModel(m_state.ladder, step);
     const bool isAffordable =
-        next && m_state.budget.takeRepeat(m_service, repeat_reason::escalation, suspendAwareNow());
+        next && m_state.budget.tryConsumeRetry(m_service, retry_reason::escalation, suspendAwareNow());
     return isAffordable ? next : std::nullopt;
 }
 
@@ -159,7 +159,7 @@
     m_mayHaveRun = m_mayHaveRun || !hasCertainlyNotRun(result);
     recordAttempt(result);
     if (result == attempt_result::wrong_replica || result == attempt_result::not_connected)
-        m_state.replicas.noteUnreachable(m_replica, suspendAwareNow());
+        m_state.replicas.recordUnreachable(m_replica, suspendAwareNow());
     closeAttempt(result == attempt_result::answered);
     follow(result);
 }
@@ -189,18 +189,18 @@
     const auto now = suspendAwareNow();
     const std::string stratum =
         m_route->models.empty() ? m_route->name : m_route->name + '/' + m_route->models[m_model];
-    version_answer answer;
+    version_response answer;
     answer.service = m_service;
     answer.version = m_replicaVersion;
     answer.stratum = stratum;
     answer.replica = m_replica;
     answer.isFailure = result == attempt_result::server_error;
     constexpr std::uint32_t kEventsForPace = 3;
-    if (m_route->repeats != repeat_rule::stream)
+    if (m_route->retryRule != retry_rule::stream)
         answer.latency = now - m_sentAt;
     else if (m_eventCount >= kEventsForPace)
         answer.latency = (now - *m_firstEventAt) / (m_eventCount - 1);
-    m_state.rollouts.noteAnswer(answer);
+    m_state.rollouts.recordResponse(answer);
 }
 
 void gateway_exchange::closeAttempt(std::optional<bool> isGood)
@@ -229,7 +229,7 @@
     auto step = nextStepAfter(facts);
     const bool isArrival = result != attempt_result::not_connected;
     if (step == next_step::retry && isArrival
-        && !m_state.budget.takeRepeat(m_service, repeat_reason::failure, suspendAwareNow())) {
+        && !m_state.budget.tryConsumeRetry(m_service, retry_reason::failure, suspendAwareNow())) {
         facts.sends = facts.maxSends;
         step = nextStepAfter(facts);
     }
--- a/src/replica_table.cpp
+++ b/src/replica_table.cpp
@@ -73,10 +73,10 @@
     return out > kMostEjected * static_cast<double>(all.size()) ? all : open;
 }
 
-bool replica_table::hasRead(const replica &candidate, std::uint64_t sharedPrompt, instant now)
+bool replica_table::hasRead(const replica &candidate, std::uint64_t sharedPrefixHash, instant now)
 {
-    const auto sent = candidate.sentPrompts.find(sharedPrompt);
-    return sent != candidate.sentPrompts.end() && now - sent->second < kCacheMemory;
+    const auto sent = candidate.sentPrompts.find(sharedPrefixHash);
+    return sent != candidate.sentPrompts.end() && now - sent->second < kPrefixCacheLifetime;
 }
 
 /// @returns the time until a replica comes to another request, as far as it is known, in ms.
@@ -114,7 +114,7 @@
 
 void replica_table::forgetOthers(instant now)
 {
-    if (!m_othersKnownAt || now - *m_othersKnownAt < kLoadMemory)
+    if (!m_othersKnownAt || now - *m_othersKnownAt < kMaxLoadAge)
         return;
     setOthersLoad({}, now);
     m_othersKnownAt.reset();
@@ -124,12 +124,12 @@
 replica_table::replica *replica_table::soonest(const candidate_list &open, const replica_query &query, instant now)
 {
     const auto home = std::ranges::max_element(
-        open, {}, [&](const replica *candidate) { return rendezvous(query.sharedPrompt, candidate->idHash); });
+        open, {}, [&](const replica *candidate) { return rendezvous(query.sharedPrefixHash, candidate->idHash); });
     const double rereadMs = query.work.sharedMs * (m_othersKnownAt ? kRereadWeight : 1.0);
     const auto delay = [&](const replica *candidate) {
         // Other hosts send the same prompts to the same home.
         const bool isCached =
-            query.sharedPrompt != 0 && (candidate == *home || hasRead(*candidate, query.sharedPrompt, now));
+            query.sharedPrefixHash != 0 && (candidate == *home || hasRead(*candidate, query.sharedPrefixHash, now));
         return waitMs(*candidate) + query.work.ownMs + (isCached ? 0.0 : rereadMs)
             + std::uniform_real_distribution<double>(0, kRunningMs)(m_random);
     };
@@ -168,7 +168,7 @@
     return &(hasPrompt ? soonest(open, query, now) : leastLoaded(open))->entry;
 }
 
-double replica_table::recordStart(const std::string &id, std::uint64_t sharedPrompt, const prompt_work &work,
+double replica_table::recordStart(const std::string &id, std::uint64_t sharedPrefixHash, const prompt_work &work,
                                   instant now)
 {
     const auto found = m_replicas.find(id);
@@ -176,17 +176,17 @@
         return 0;
     auto &target = found->second;
     ++target.running;
-    const bool isCached = sharedPrompt != 0 && hasRead(target, sharedPrompt, now);
+    const bool isCached = sharedPrefixHash != 0 && hasRead(target, sharedPrefixHash, now);
     const double promptMs = work.ownMs + (isCached ? 0.0 : work.sharedMs);
     target.backlogMs += promptMs;
-    if (sharedPrompt == 0)
+    if (sharedPrefixHash == 0)
         return promptMs;
-    std::erase_if(target.sentPrompts, [now](const auto &entry) { return now - entry.second >= kCacheMemory; });
-    target.sentPrompts[sharedPrompt] = now;
+    std::erase_if(target.sentPrompts, [now](const auto &entry) { return now - entry.second >= kPrefixCacheLifetime; });
+    target.sentPrompts[sharedPrefixHash] = now;
     return promptMs;
 }
 
-void replica_table::noteFirstByte(const std::string &id, double promptMs)
+void replica_table::recordFirstByte(const std::string &id, double promptMs)
 {
     const auto found = m_replicas.find(id);
     if (found != m_replicas.end())
@@ -195,7 +195,7 @@
 
 void replica_table::recordEnd(const std::string &id, double promptMs, std::optional<bool> isGood, instant now)
 {
-    noteFirstByte(id, promptMs);
+    recordFirstByte(id, promptMs);
     const auto found = m_replicas.find(id);
     if (found == m_replicas.end())
         return;
@@ -215,7 +215,7 @@
         eject(target, now);
 }
 
-void replica_table::noteUnreachable(const std::string &id, instant now)
+void replica_table::recordUnreachable(const std::string &id, instant now)
 {
     const auto found = m_replicas.find(id);
     if (found != m_replicas.end())
--- a/src/replica_table_p.h
+++ b/src/replica_table_p.h
@@ -21,7 +21,7 @@
     std::string_view service;
     std::string_view version; ///< only this one; empty: any
     std::string_view excludedVersion; ///< not this one; empty: none is excluded
-    std::uint64_t sharedPrompt = 0; ///< equal values have the same shared parts and model; 0: none
+    std::uint64_t sharedPrefixHash = 0; ///< equal values have the same shared parts and model; 0: none
     prompt_work work;
     const std::set<std::string> *tried = nullptr; ///< replicas that this request has been sent to
 };
@@ -38,12 +38,12 @@
     [[nodiscard]] const replica_entry *pick(const replica_query &query, instant now);
 
     /// Counts an attempt that is sent.
-    /// @param sharedPrompt as in the query.
+    /// @param sharedPrefixHash as in the query.
     /// @returns the part of the prompt that the replica has to read, in ms.
-    double recordStart(const std::string &id, std::uint64_t sharedPrompt, const prompt_work &work, instant now);
+    double recordStart(const std::string &id, std::uint64_t sharedPrefixHash, const prompt_work &work, instant now);
 
     /// The replica has read the prompt of an attempt. @param promptMs as recordStart() returned it.
-    void noteFirstByte(const std::string &id, double promptMs);
+    void recordFirstByte(const std::string &id, double promptMs);
 
     /// @param promptMs of an attempt whose prompt has not been read, otherwise 0.
     /// @param isGood nothing: the end tells nothing about the replica.
@@ -56,13 +56,13 @@
     void setOthersLoad(const std::vector<replica_load> &loads, instant now);
 
     /// The replica answered under another id, or its address refuses connections.
-    void noteUnreachable(const std::string &id, instant now);
+    void recordUnreachable(const std::string &id, instant now);
 
     [[nodiscard]] std::size_t size() const { return m_replicas.size(); }
     [[nodiscard]] std::uint32_t running(const std::string &id) const;
 
     /// Time for which a replica is taken to keep the shared parts that this host sent there.
-    static constexpr std::chrono::seconds kCacheMemory{15};
+    static constexpr std::chrono::seconds kPrefixCacheLifetime{15};
     /// Delay of a first token by each request that is running, in ms: a step takes 0.05 ms more for each.
     static constexpr double kRunningMs = 0.5;
     /// Time for which a request holds its slot, in ms: 2 to 38 events of 10 tokens at 3.55 ms a step.
@@ -73,7 +73,7 @@
     /// over when the request arrives.
     static constexpr double kRereadWeight = 6;
     /// Age at which the load of other hosts says nothing any more: three reports.
-    static constexpr std::chrono::milliseconds kLoadMemory{1500};
+    static constexpr std::chrono::milliseconds kMaxLoadAge{1500};
     /// Failures in a row that take a replica out.
     static constexpr std::uint32_t kFailuresToEject = 3;
     /// Failure rate over about the last ten answers that takes a replica out.
@@ -103,7 +103,7 @@
     [[nodiscard]] replica *soonest(const candidate_list &open, const replica_query &query, instant now);
     [[nodiscard]] static double waitMs(const replica &candidate);
     void forgetOthers(instant now);
-    [[nodiscard]] static bool hasRead(const replica &candidate, std::uint64_t sharedPrompt, instant now);
+    [[nodiscard]] static bool hasRead(const replica &candidate, std::uint64_t sharedPrefixHash, instant now);
     [[nodiscard]] replica *leastLoaded(const candidate_list &open);
     void eject(replica &target, instant now);
 
--- a/src/router_core_completion.cpp
+++ b/src/router_core_completion.cpp
@@ -131,7 +131,7 @@
     }
     if (input.scorePermille) {
         const bool passed = *input.scorePermille >= rating.targetPermille;
-        m_policy.learn(rating.kind, rating.version, passed);
+        m_policy.recordRating(rating.kind, rating.version, passed);
         recordResult(rating.version, passed, rating.stratum);
     } else {
         recordResult(rating.version, std::nullopt);
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -43,7 +43,7 @@
     void noteInput(const core_input &input);
     void noteRan(attempt_token attempt);
     void recordEnd(attempt_token attempt);
-    void noteFailure(const attempt_failed &failed);
+    void recordFailure(const attempt_failed &failed);
     [[nodiscard]] std::string fingerprint(request_token request)
     {
         return m_requests[request].kind + m_requests[request].prompt;
@@ -86,7 +86,7 @@
     else if (const auto *done = std::get_if<attempt_done>(&input))
         recordEnd(done->attempt);
     else if (const auto *failed = std::get_if<attempt_failed>(&input))
-        noteFailure(*failed);
+        recordFailure(*failed);
 }
 
 void rule_checker::noteRan(attempt_token attempt)
@@ -101,7 +101,7 @@
     m_open.erase(attempt);
 }
 
-void rule_checker::noteFailure(const attempt_failed &failed)
+void rule_checker::recordFailure(const attempt_failed &failed)
 {
     if (!m_ran.contains(failed.attempt))
         m_failures.try_emplace(failed.attempt, failed.failure);
--- a/tests/test_gateway_decisions.cpp
+++ b/tests/test_gateway_decisions.cpp
@@ -56,8 +56,8 @@
     return {"s", "v2", 20s, state, stage, 5, 3};
 }
 
-version_answer makeAnswer(std::string_view version, std::string_view replica, bool isFailure,
-                          std::chrono::microseconds latency = 10ms)
+version_response makeAnswer(std::string_view version, std::string_view replica, bool isFailure,
+                            std::chrono::microseconds latency = 10ms)
 {
     return {"s", version, "route", replica, isFailure, latency};
 }
@@ -114,7 +114,7 @@
                 budget.recordRequest("s", 1s);
             requests += share;
             for (int i = 0; i < 500; ++i)
-                repeats += budget.takeRepeat("s", repeat_reason::failure, 2s) ? 1 : 0;
+                repeats += budget.tryConsumeRetry("s", retry_reason::failure, 2s) ? 1 : 0;
         }
         CHECK(repeats <= limits.ratio * requests + limits.slack);
         CHECK(repeats >= limits.ratio * requests / 2);
@@ -127,11 +127,11 @@
     for (int i = 0; i < 100; ++i)
         budget.recordRequest("s", 1s);
     int escalations = 0;
-    while (budget.takeRepeat("s", repeat_reason::escalation, 2s))
+    while (budget.tryConsumeRetry("s", retry_reason::escalation, 2s))
         ++escalations;
     CHECK(escalations < 70);
-    CHECK(budget.takeRepeat("s", repeat_reason::failure, 2s));
-    CHECK_FALSE(budget.takeRepeat("s", repeat_reason::failure, 12s)); // the requests have left the window
+    CHECK(budget.tryConsumeRetry("s", retry_reason::failure, 2s));
+    CHECK_FALSE(budget.tryConsumeRetry("s", retry_reason::failure, 12s)); // the requests have left the window
 }
 
 TEST_CASE("replica table: requests with the same shared prompt go to the same replica until it is busy")
@@ -140,7 +140,7 @@
     table.setReplicas(makeEntries(9));
     replica_query query;
     query.service = "s";
-    query.sharedPrompt = 77;
+    query.sharedPrefixHash = 77;
     query.work = {100, 20};
     const auto *home = table.pick(query, 1s);
     REQUIRE(home);
@@ -149,7 +149,7 @@
     const double first = table.recordStart(homeId, 77, query.work, 1s);
     CHECK(first == doctest::Approx(120));
     CHECK(table.pick(query, 1s)->id != homeId); // waiting there takes longer than reading the prompt again elsewhere
-    table.noteFirstByte(homeId, first);
+    table.recordFirstByte(homeId, first);
     CHECK(table.pick(query, 1s)->id == homeId);
     CHECK(table.recordStart(homeId, 77, query.work, 2s) == doctest::Approx(20)); // the shared part has been read
 }
@@ -162,12 +162,12 @@
     for (std::uint64_t i = 1; i <= 90; ++i) {
         replica_query query;
         query.service = "s";
-        query.sharedPrompt = i % 3 + 1; // three hot prompts
+        query.sharedPrefixHash = i % 3 + 1; // three hot prompts
         query.work = {100, 50};
         const auto *replica = table.pick(query, 1s);
         REQUIRE(replica);
         ++sent[replica->id];
-        table.recordStart(replica->id, query.sharedPrompt, query.work, 1s);
+        table.recordStart(replica->id, query.sharedPrefixHash, query.work, 1s);
     }
     CHECK(sent.size() == 9);
     for (const auto &[id, count] : sent)
@@ -186,8 +186,8 @@
     }
     for (int i = 0; i < 50; ++i)
         CHECK(table.pick(query, 1500ms)->id != "r0");
-    table.noteUnreachable("r1", 1500ms);
-    table.noteUnreachable("r2", 1500ms);
+    table.recordUnreachable("r1", 1500ms);
+    table.recordUnreachable("r2", 1500ms);
     CHECK(table.pick(query, 1600ms) != nullptr);
 }
 
@@ -199,7 +199,7 @@
     table.setReplicas(entries);
     for (int i = 0; i < 5; ++i)
         table.recordStart("r0", 0, {}, 1s);
-    table.noteUnreachable("r0", 1s);
+    table.recordUnreachable("r0", 1s);
     entries[0].startedAtMs = 2000;
     table.setReplicas(entries);
     CHECK(table.running("r0") == 0);
@@ -229,11 +229,11 @@
     auto entries = makeEntries(3);
     entries[2].isDraining = true;
     registry.replaceAll(entries, 1s);
-    registry.noteReachable(false, 5s);
-    registry.noteReachable(true, 10s);
+    registry.setStoreReachable(false, 5s);
+    registry.setStoreReachable(true, 10s);
     registry.replaceAll({}, 10s);
     CHECK(registry.entries().size() == 2); // the draining one is gone
-    registry.change(makeEntry("r0"));
+    registry.upsert(makeEntry("r0"));
     CHECK_FALSE(registry.expire(11s));
     CHECK(registry.expire(11900ms));
     REQUIRE(registry.entries().size() == 1);
@@ -279,7 +279,7 @@
     table.setReplicas(makeEntries(4));
     replica_query query;
     query.service = "s";
-    query.sharedPrompt = 77;
+    query.sharedPrefixHash = 77;
     query.work = {.sharedMs = 10, .ownMs = 5};
     const std::string home = table.pick(query, 1s)->id;
     // This host has nothing there; the others fill its batch, and one prompt after the other waits.
@@ -289,11 +289,11 @@
     table.setOthersLoad({{home, 4, 40}}, 1s);
     CHECK(table.pick(query, 1s)->id == home);
     table.setOthersLoad({{home, 20, 4000}}, 2s);
-    CHECK(table.pick(query, 2s + replica_table::kLoadMemory)->id == home);
+    CHECK(table.pick(query, 2s + replica_table::kMaxLoadAge)->id == home);
     // Plain calls are over long before their report arrives.
     table.setOthersLoad({{"r0", 20, 0}, {"r1", 20, 0}, {"r2", 20, 0}}, 3s);
     query.work = {};
-    query.sharedPrompt = 0;
+    query.sharedPrefixHash = 0;
     std::set<std::string> used;
     for (int i = 0; i < 50; ++i)
         used.insert(table.pick(query, 3s)->id);
@@ -313,12 +313,12 @@
     std::map<std::string, double> running;
     replica_query query;
     query.service = "s";
-    query.sharedPrompt = 77;
+    query.sharedPrefixHash = 77;
     query.work = {.sharedMs = 1, .ownMs = 40};
     for (int round = 0; round < 2; ++round) {
         for (auto &host : hosts) {
             const auto id = host.pick(query, 1s)->id;
-            host.recordStart(id, query.sharedPrompt, query.work, 1s);
+            host.recordStart(id, query.sharedPrefixHash, query.work, 1s);
             ++running[id];
             std::vector<replica_load> others;
             std::ranges::transform(running, std::back_inserter(others), [&](const auto &entry) {
@@ -355,12 +355,12 @@
     retry_budget budget({.ratio = 0.9, .window = 10s, .slack = 216});
     budget.setHosts(kHosts);
     std::size_t repeats = 0;
-    while (budget.takeRepeat("s", repeat_reason::failure, 1s))
+    while (budget.tryConsumeRetry("s", retry_reason::failure, 1s))
         ++repeats;
     CHECK(repeats > 0);
     CHECK(repeats * kHosts <= 216);
     budget.setHosts(3); // hosts that went down may be back before this host knows
-    CHECK(budget.takeRepeat("t", repeat_reason::failure, 1s));
+    CHECK(budget.tryConsumeRetry("t", retry_reason::failure, 1s));
 }
 
 TEST_CASE("roll-out: a session has the same version on all hosts, the old one through the first stage, and moves once")
@@ -397,11 +397,11 @@
 {
     rollout_policy policy;
     for (int i = 0; i < 50; ++i)
-        policy.noteAnswer(makeAnswer("v1", "r1", false));
+        policy.recordResponse(makeAnswer("v1", "r1", false));
     policy.setOrders({makeOrder()}, 1s);
     int answers = 0;
     for (; answers < 40 && policy.nextState(2s) == std::nullopt; ++answers)
-        policy.noteAnswer(makeAnswer("v2", answers % 2 ? "n1" : "n2", answers % 2 == 0 || answers % 3 == 0));
+        policy.recordResponse(makeAnswer("v2", answers % 2 ? "n1" : "n2", answers % 2 == 0 || answers % 3 == 0));
     CHECK(answers < 15);
     REQUIRE(policy.nextState(2s));
     CHECK(policy.nextState(2s)->state == rollout_state::rolled_back);
@@ -415,13 +415,13 @@
     rollout_policy oneBad;
     for (auto *policy : {&slow, &cold, &oneBad}) {
         for (int i = 0; i < 50; ++i)
-            policy->noteAnswer(makeAnswer("v1", "r1", false, 20ms));
+            policy->recordResponse(makeAnswer("v1", "r1", false, 20ms));
         policy->setOrders({makeOrder()}, 1s);
     }
     for (int i = 0; i < 40; ++i) {
-        slow.noteAnswer(makeAnswer("v2", i % 2 ? "n1" : "n2", false, 160ms));
-        cold.noteAnswer(makeAnswer("v2", i % 2 ? "n1" : "n2", false, 30ms));
-        oneBad.noteAnswer(makeAnswer("v2", i % 3 ? "n1" : "n2", i % 3 == 0));
+        slow.recordResponse(makeAnswer("v2", i % 2 ? "n1" : "n2", false, 160ms));
+        cold.recordResponse(makeAnswer("v2", i % 2 ? "n1" : "n2", false, 30ms));
+        oneBad.recordResponse(makeAnswer("v2", i % 3 ? "n1" : "n2", i % 3 == 0));
     }
     CHECK(slow.nextState(2s));
     CHECK_FALSE(cold.nextState(2s));
@@ -432,10 +432,10 @@
 {
     rollout_policy policy;
     for (int i = 0; i < 100; ++i)
-        policy.noteAnswer(makeAnswer("v1", "r1", i % 3 == 0));
+        policy.recordResponse(makeAnswer("v1", "r1", i % 3 == 0));
     policy.setOrders({makeOrder()}, 1s);
     for (int i = 0; i < 30; ++i)
-        policy.noteAnswer(makeAnswer("v2", i % 2 ? "n1" : "n2", i % 3 == 0));
+        policy.recordResponse(makeAnswer("v2", i % 2 ? "n1" : "n2", i % 3 == 0));
     CHECK_FALSE(policy.nextState(2s));
 }
 
@@ -464,14 +464,14 @@
 {
     rollout_policy policy;
     for (int i = 0; i < 50; ++i)
-        policy.noteAnswer(makeAnswer("v1", "r1", false));
+        policy.recordResponse(makeAnswer("v1", "r1", false));
     policy.setOrders({makeOrder()}, 1s);
     int answers = 0;
     for (; answers < 100 && !policy.nextState(2s); ++answers) {
         const bool isOnRoute = answers % 10 == 0;
         auto answer = makeAnswer("v2", answers / 10 % 2 ? "n1" : "n2", isOnRoute);
         answer.stratum = isOnRoute ? "one" : "other";
-        policy.noteAnswer(answer);
+        policy.recordResponse(answer);
     }
     CHECK(answers < 40); // of these, one in ten of the bad route
 }
--- a/tests/test_store_feed.cpp
+++ b/tests/test_store_feed.cpp
@@ -87,7 +87,7 @@
     const auto &config = *store.seen.configs[0];
     CHECK(config.version == 9);
     REQUIRE(config.routes.size() == 1);
-    CHECK(config.routes[0].repeats == repeat_rule::stream);
+    CHECK(config.routes[0].retryRule == retry_rule::stream);
     CHECK(config.routes[0].mayRetry());
     CHECK(config.routes[0].targets.size() == 2);
     CHECK(config.routes[0].models == std::vector<std::string>{"m0", "m1"});
