--- a/tests/test_controller.cpp
+++ b/tests/test_controller.cpp
@@ -104,22 +104,22 @@
 TEST_CASE("a generation is accepted at once when all registered hosts have acknowledged it")
 {
     acceptance changes;
-    changes.note(documentOf(controlLayers(3), 1, plainHistory(1)));
-    changes.observe(statusOf(1, hostNames(1, 2)), instant(0));
+    changes.recordConfiguration(documentOf(controlLayers(3), 1, plainHistory(1)));
+    changes.recordStatus(statusOf(1, hostNames(1, 2)), instant(0));
     CHECK(changes.accepted() == 0);
     CHECK(changes.unacknowledged(1) == hostNames(3, 3));
-    changes.observe(statusOf(1, hostNames(1, 3)), instant(0));
+    changes.recordStatus(statusOf(1, hostNames(1, 3)), instant(0));
     CHECK(changes.accepted() == 1);
 }
 
 TEST_CASE("a majority makes a generation accepted a lease and its margin later, not earlier")
 {
     acceptance changes;
-    changes.note(documentOf(controlLayers(3), 1, plainHistory(1)));
-    changes.observe(statusOf(1, hostNames(1, 1)), milliseconds(0));
+    changes.recordConfiguration(documentOf(controlLayers(3), 1, plainHistory(1)));
+    changes.recordStatus(statusOf(1, hostNames(1, 1)), milliseconds(0));
     changes.tick(milliseconds(60000));
     CHECK(changes.accepted() == 0);
-    changes.observe(statusOf(1, hostNames(1, 2)), milliseconds(60000));
+    changes.recordStatus(statusOf(1, hostNames(1, 2)), milliseconds(60000));
     changes.tick(milliseconds(64399));
     CHECK(changes.accepted() == 0);
     changes.tick(milliseconds(64400));
@@ -129,25 +129,25 @@
 TEST_CASE("acknowledgements of an older generation don't count")
 {
     acceptance changes;
-    changes.note(documentOf(controlLayers(3), 2, plainHistory(2)));
-    changes.observe(statusOf(1, hostNames(1, 3)), instant(0));
+    changes.recordConfiguration(documentOf(controlLayers(3), 2, plainHistory(2)));
+    changes.recordStatus(statusOf(1, hostNames(1, 3)), instant(0));
     changes.tick(milliseconds(60000));
     CHECK(changes.accepted() == 0);
-    changes.observe(statusOf(3, hostNames(1, 3)), instant(0)); // Later ones do.
+    changes.recordStatus(statusOf(3, hostNames(1, 3)), instant(0)); // Later ones do.
     CHECK(changes.accepted() == 2);
 }
 
 TEST_CASE("after a host was removed all others' acknowledgements are not enough: it may hold a lease")
 {
     acceptance changes;
-    changes.note(documentOf(controlLayers(3), 1, plainHistory(1)));
-    changes.observe(statusOf(1, hostNames(1, 3)), instant(0));
+    changes.recordConfiguration(documentOf(controlLayers(3), 1, plainHistory(1)));
+    changes.recordStatus(statusOf(1, hostNames(1, 3)), instant(0));
     REQUIRE(changes.accepted() == 1);
     auto history = plainHistory(1);
     history.push_back({2, "remove", "controller", 0, {{"", "host h3", "", std::nullopt}}});
     history.push_back({3, "withdraw", "ada", 0, {withdrawalOf("v2")}});
-    changes.note(documentOf(controlLayers(2), 3, history));
-    changes.observe(statusOf(3, hostNames(1, 2)), milliseconds(1000));
+    changes.recordConfiguration(documentOf(controlLayers(2), 3, history));
+    changes.recordStatus(statusOf(3, hostNames(1, 2)), milliseconds(1000));
     CHECK(changes.accepted() == 1);
     changes.tick(milliseconds(5399));
     CHECK(changes.accepted() == 1);
@@ -160,13 +160,13 @@
 TEST_CASE("an acknowledgement that is no longer reported does not count towards a majority")
 {
     acceptance changes;
-    changes.note(documentOf(controlLayers(3), 1, plainHistory(1)));
-    changes.observe(statusOf(1, hostNames(1, 1)), milliseconds(0));
-    changes.observe(statusOf(1, hostNames(2, 2)), milliseconds(1000));
+    changes.recordConfiguration(documentOf(controlLayers(3), 1, plainHistory(1)));
+    changes.recordStatus(statusOf(1, hostNames(1, 1)), milliseconds(0));
+    changes.recordStatus(statusOf(1, hostNames(2, 2)), milliseconds(1000));
     changes.tick(milliseconds(60000));
     CHECK(changes.accepted() == 0);
     CHECK_FALSE(changes.hasMajority(1));
-    changes.observe(statusOf(1, hostNames(2, 3)), milliseconds(60000));
+    changes.recordStatus(statusOf(1, hostNames(2, 3)), milliseconds(60000));
     changes.tick(milliseconds(64400));
     CHECK(changes.accepted() == 1);
 }
@@ -176,13 +176,13 @@
     acceptance changes;
     auto layers = controlLayers(3);
     layers.base["tuning"]["freshness_lease_ms"] = "20000";
-    changes.note(documentOf(layers, 1, plainHistory(1)));
-    changes.observe(statusOf(1, hostNames(1, 3)), instant(0));
+    changes.recordConfiguration(documentOf(layers, 1, plainHistory(1)));
+    changes.recordStatus(statusOf(1, hostNames(1, 3)), instant(0));
     layers.base["tuning"]["freshness_lease_ms"] = "1000";
     auto history = plainHistory(1);
     history.push_back({2, "lease", "ada", 0, {{"", "tuning", "freshness_lease_ms", "1000"}}});
-    changes.note(documentOf(layers, 2, history));
-    changes.observe(statusOf(2, hostNames(1, 2)), milliseconds(1000));
+    changes.recordConfiguration(documentOf(layers, 2, history));
+    changes.recordStatus(statusOf(2, hostNames(1, 2)), milliseconds(1000));
     changes.tick(milliseconds(22999));
     CHECK(changes.accepted() == 1);
     changes.tick(milliseconds(23000));
@@ -194,8 +194,8 @@
     acceptance changes;
     auto history = plainHistory(80);
     history.erase(history.begin(), history.begin() + 16);
-    changes.note(documentOf(controlLayers(3), 80, history));
-    changes.observe(statusOf(80, hostNames(1, 3)), instant(0));
+    changes.recordConfiguration(documentOf(controlLayers(3), 80, history));
+    changes.recordStatus(statusOf(80, hostNames(1, 3)), instant(0));
     CHECK(changes.accepted() == 0);
     changes.tick(milliseconds(4400));
     CHECK(changes.accepted() == 80);
