--- a/cmake/gateway.cmake
+++ b/cmake/gateway.cmake
@@ -12,15 +12,15 @@
     src/event_splitter.cpp
     src/forwarding.cpp
     src/gateway_exchange.cpp
-    src/gateway_exchange_answers.cpp
+    src/gateway_exchange_responses.cpp
     src/gateway_metrics.cpp
     src/gateway_model.cpp
     src/gateway_settings.cpp
     src/gateway_task.cpp
     src/header_text.cpp
     src/http_parser.cpp
-    src/load_board.cpp
-    src/model_ladder.cpp
+    src/load_aggregator.cpp
+    src/model_cascade.cpp
     src/relay_choice.cpp
     src/replica_registry.cpp
     src/replica_table.cpp
--- a/src/evidence.cpp
+++ b/src/evidence.cpp
@@ -83,14 +83,14 @@
     return found == m_counts.end() ? nullptr : &found->second;
 }
 
-void evidence_table::noteDispatch(std::string_view version)
+void evidence_table::recordDispatch(std::string_view version)
 {
     auto &entry = m_counts[std::string(version)];
     ++entry.local.dispatched;
     ++entry.pending.dispatched;
 }
 
-void evidence_table::noteResult(std::string_view version, std::optional<bool> passed, std::string_view stratum)
+void evidence_table::recordResult(std::string_view version, std::optional<bool> passed, std::string_view stratum)
 {
     auto &attempts = m_counts[std::string(version)];
     ++attempts.local.settled;
@@ -104,12 +104,12 @@
 }
 
 void evidence_table::setTotals(const std::vector<version_evidence> &totals, instant now,
-                               const std::vector<version_evidence> &ownPart)
+                               const std::vector<version_evidence> &ownContribution)
 {
     m_totalsAt = now;
     for (const auto &total : totals) {
         auto &entry = m_counts[total.version];
-        const auto *own = findIn(ownPart, total.version);
+        const auto *own = findIn(ownContribution, total.version);
         const auto next = own != nullptr ? less(total, *own) : total;
         add(entry, {grownBy(next.passed, entry.others.passed), grownBy(next.failed, entry.others.failed)});
         entry.others = next;
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -1,5 +1,5 @@
 // One request on its way: admission, choice of a replica, sending; see gateway_exchange_p.h. What follows an answer is
-// in gateway_exchange_answers.cpp.
+// in gateway_exchange_responses.cpp.
 #include "gateway_exchange_p.h"
 
 #include <nlohmann/json.hpp>
@@ -29,7 +29,7 @@
     : m_state(state)
     , m_request(std::move(request))
     , m_reply(reply)
-    , m_facts(readFacts(m_request.head, state.dialect))
+    , m_facts(parseRequestHeaders(m_request.head, state.headerNames))
     , m_config(state.config)
     , m_lastEventId(m_facts.lastEventId)
     , m_timer(state.loop, [this] { onDeadline(); })
@@ -50,9 +50,9 @@
     m_deadline = m_request.readAt + wait;
     m_timer.start(left());
     chooseService();
-    m_state.budget.noteRequest(m_service, m_request.readAt);
+    m_state.budget.recordRequest(m_service, m_request.readAt);
     if (!m_route->models.empty()) {
-        ladder_step step;
+        cascade_step step;
         step.models = m_route->models.size();
         step.maxSends = m_route->maxAttempts;
         m_model = firstModel(m_state.ladder, step);
@@ -123,7 +123,7 @@
 /// @returns a key of the shared parts of the prompt for the present model, as engines keep them for each model apart.
 std::uint64_t gateway_exchange::promptKey() const
 {
-    return m_facts.sharedPrompt == 0 ? 0 : m_facts.sharedPrompt + m_model;
+    return m_facts.sharedPrefixHash == 0 ? 0 : m_facts.sharedPrefixHash + m_model;
 }
 
 const replica_entry *gateway_exchange::pickOf(const version_choice &choice, instant now)
@@ -132,7 +132,7 @@
     query.service = m_service;
     query.version = choice.version;
     query.excludedVersion = choice.excluded;
-    query.sharedPrompt = promptKey();
+    query.sharedPrefixHash = promptKey();
     query.work = promptWork();
     query.tried = &m_tried;
     return m_state.replicas.pick(query, now);
@@ -186,7 +186,7 @@
         fields.priority = enginePriority();
     if (m_hasBegun)
         fields.lastEventId = m_lastEventId;
-    return {replica.address, replica.id, forwardedHead(m_request, fields, m_state.dialect) + m_request.body,
+    return {replica.address, replica.id, forwardedHead(m_request, fields, m_state.headerNames) + m_request.body,
             m_facts.id};
 }
 
@@ -204,7 +204,7 @@
     m_body.clear();
     m_isStream = false;
     m_events.reset();
-    m_promptMs = m_state.replicas.noteStart(m_replica, promptKey(), promptWork(), m_sentAt);
+    m_promptMs = m_state.replicas.recordStart(m_replica, promptKey(), promptWork(), m_sentAt);
     m_upstream = std::make_unique<upstream_exchange>(m_state.pool, upstreamRequest(replica),
                                                      static_cast<upstream_listener &>(*this));
 }
@@ -243,7 +243,7 @@
     const auto now = suspendAwareNow();
     const auto duration = now - m_request.readAt;
     const std::string_view route = m_route ? std::string_view(m_route->name) : std::string_view("none");
-    m_state.metrics.noteRequest(route, status, reason, duration);
+    m_state.metrics.recordRequest(route, status, reason, duration);
     nlohmann::ordered_json fields{
         {"request_id", m_facts.id},
         {"route", route},
--- a/src/relay_task_core.cpp
+++ b/src/relay_task_core.cpp
@@ -47,7 +47,7 @@
     m_loop.post([this] { drive(); });
 }
 
-void relay_task::noteRequest(const std::string &apiKey)
+void relay_task::recordRequest(const std::string &apiKey)
 {
     if (!m_config.view())
         return;
@@ -80,7 +80,7 @@
 void relay_task::publishLease()
 {
     // A host that may not vouch has no lease, whatever stamps it has.
-    const lease_changed lease{m_fresh.generation(), m_fresh.mayVouch() ? m_fresh.leaseEnd() : instant{}};
+    const lease_changed lease{m_fresh.generation(), m_fresh.mayAcknowledge() ? m_fresh.leaseEnd() : instant{}};
     if (lease.generation == m_lease.generation && lease.expiresAt == m_lease.expiresAt)
         return;
     m_lease = lease;
--- a/src/relay_task_p.h
+++ b/src/relay_task_p.h
@@ -40,7 +40,7 @@
     void share(const share_estimates &estimates);
     void share(const share_halt &halt);
     void share(const share_quarantine &entry);
-    void noteRequest(const std::string &apiKey);
+    void recordRequest(const std::string &apiKey);
 
     [[nodiscard]] peer_client &peers() { return m_peers; }
     [[nodiscard]] const config_holder &config() const { return m_config; }
@@ -98,7 +98,7 @@
     instant m_nextRecover{};
     std::string m_rejectedField; ///< of the last configuration that could not be used
     std::uint64_t m_lastAnswer = 0;
-    std::map<answer_token, peer_reply<exchange_reply>> m_answers; ///< calls of children that wait
+    std::map<response_token, peer_reply<exchange_reply>> m_answers; ///< calls of children that wait
     std::vector<waiting_status> m_waitingStatus;
 
     // What the core was told last.
@@ -138,7 +138,7 @@
     void share(const share_estimates &estimates) override { m_task->share(estimates); }
     void share(const share_halt &halt) override { m_task->share(halt); }
     void share(const share_quarantine &entry) override { m_task->share(entry); }
-    void noteRequest(const std::string &apiKey) override { m_task->noteRequest(apiKey); }
+    void recordRequest(const std::string &apiKey) override { m_task->recordRequest(apiKey); }
 
 private:
     std::shared_ptr<relay_task> m_task;
--- a/src/router_core_dispatch.cpp
+++ b/src/router_core_dispatch.cpp
@@ -130,7 +130,7 @@
             .expectedLatency = std::chrono::milliseconds{static_cast<std::int64_t>(duration)}};
 }
 
-const answer_size *router_core::implementation::sizeOf(const open_request &request, version_handle version) const
+const response_stats *router_core::implementation::sizeOf(const open_request &request, version_handle version) const
 {
     const auto found = m_answerSizes.find({request.input.kind, (*m_config)[version].name});
     return found == m_answerSizes.end() ? nullptr : &found->second;
@@ -229,7 +229,7 @@
 
 double router_core::implementation::msForEachStart(const open_request &request) const
 {
-    const auto total = m_admission.startEstimate(request.account, request.priority, request.pool);
+    const auto total = m_admission.estimateQueueWait(request.account, request.priority, request.pool);
     const auto ahead = std::ranges::count_if(m_requests, [&](const auto &item) {
         const auto &other = *item.second;
         return other.phase == request_phase::queued && other.pool == request.pool && other.priority <= request.priority;
@@ -323,10 +323,10 @@
     const auto limit = request.input.maxTokens == 0 ? kind.maxTokens : request.input.maxTokens;
     m_admission.remove(request.input.request);
     if (request.attempts++ == 0)
-        m_admission.noteFirstAttempt();
-    m_balancer.noteStart(upstream.name);
-    m_admission.noteStart(upstream.service, request.priority);
-    m_evidence.noteDispatch(version.name);
+        m_admission.recordFirstAttempt();
+    m_balancer.recordStart(upstream.name);
+    m_admission.recordStart(upstream.service, request.priority);
+    m_evidence.recordDispatch(version.name);
     m_evidenceChanged = true;
     ++m_running[request.fingerprint];
     m_attempts[token] = {.request = request.input.request,
