--- a/src/relay_choice.cpp
+++ b/src/relay_choice.cpp
@@ -1,4 +1,4 @@
-// Choice between the store and a relay; see relay_choice_p.h.
+// Choice of the configuration source, store or relay; see relay_choice_p.h.
 #include "relay_choice_p.h"
 
 #include "text_hash_p.h"
@@ -20,29 +20,29 @@
 {
     if (m_isRelay)
         return nullptr;
-    const auto isFree = [now](const relay &entry) {
-        return entry.heldUntil <= now;
+    const auto isAvailable = [now](const relay &entry) {
+        return entry.skippedUntil <= now;
     };
-    const auto found = std::ranges::find_if(m_relays, isFree);
+    const auto found = std::ranges::find_if(m_relays, isAvailable);
     return found == m_relays.end() ? nullptr : &found->address;
 }
 
-void relay_choice::recordFailure(const http_endpoint &failed, bool isStoreLost, instant now)
+void relay_choice::recordFailure(const http_endpoint &failed, bool isStoreUnreachable, instant now)
 {
     const auto found = std::ranges::find(m_relays, failed, &relay::address);
     if (found != m_relays.end())
-        found->heldUntil = now + (isStoreLost ? std::chrono::milliseconds{0} : kFailureBackoff);
+        found->skippedUntil = now + (isStoreUnreachable ? std::chrono::milliseconds{0} : kFailureBackoff);
 }
 
 std::size_t relay_audience::size(instant now)
 {
-    std::erase_if(m_askedAt, [now](const auto &entry) { return now - entry.second > kMemory; });
-    return m_askedAt.size();
+    std::erase_if(m_queriedAt, [now](const auto &entry) { return now - entry.second > kAudienceLifetime; });
+    return m_queriedAt.size();
 }
 
-bool relay_audience::mayRespond(std::optional<instant> confirmedAt, bool isWhole, instant now)
+bool relay_audience::mayRespond(std::optional<instant> confirmedAt, bool isComplete, instant now)
 {
-    return isWhole && confirmedAt && now - *confirmedAt <= kMaxConfirmationAge;
+    return isComplete && confirmedAt && now - *confirmedAt <= kMaxConfirmationAge;
 }
 
 } // namespace foxtaildyke
