--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -1,4 +1,4 @@
-// Relay tree: what a host tells its parent and takes from it; see relay_p.h.
+// Relay tree: the exchange of a host with its parent; see relay_p.h.
 #include "relay_p.h"
 
 namespace foxtaildyke
@@ -7,33 +7,33 @@
 namespace
 {
 
-/// A call is given up this many periods after the parent should have answered it.
-constexpr int kTimeoutPeriods = 2;
+/// Periods after which a call fails, counted from the time at which the parent should have responded.
+constexpr int kResponseGracePeriods = 2;
 
-/// One call waits at the parent; a second one may bring news, which makes the parent answer the first.
+/// One call waits at the parent; a second one may carry updates, on which the parent responds to the first.
 constexpr std::size_t kMaxCallsToParent = 2;
 
-/// Fleets up to this size share every growth at once; larger ones hold back what changes a sum by little.
-constexpr std::size_t kSmallFleet = 16;
+/// Fleets up to this size propagate every growth of a count at once; larger ones delay small relative changes.
+constexpr std::size_t kMaxUndampedHosts = 16;
 constexpr std::uint32_t kDampingDivisor = 16;
 
-/// Demand is sent when it changed by more than this part.
+/// Demand is sent when it has changed by more than 1/kDemandDivisor.
 constexpr std::uint64_t kDemandDivisor = 8;
 
-/// Stands for "not in this period".
-constexpr std::uint64_t kNoDemand = UINT64_MAX;
+/// Divisor that suppresses demand updates in this period.
+constexpr std::uint64_t kSuppressDemand = UINT64_MAX;
 
-/// What was held back is sent after this many periods, so that a sum that stopped growing becomes exact.
+/// Delayed changes are sent after this many periods, so that a sum that has stopped growing becomes exact.
 constexpr std::uint64_t kFlushPeriods = 64;
 
-/// Counts that change a sum by little go to the parent after this many periods.
+/// Counts that change a sum by little are sent to the parent once in this many periods.
 constexpr std::uint64_t kDeltaPeriods = 32;
 
-/// Demand is compared with what the other side knows in each of this many periods only.
+/// Demand is compared with what the other side knows once in this many periods.
 constexpr std::uint64_t kDemandPeriods = 8;
 
-/// After an answer that came early, because of news, the next call waits for this part of a period only: until then the
-/// parent has no call that it could answer with the next news.
+/// After a response the next call starts within period / kEarlyCallDivisor. Responses come early when there are
+/// updates, and until the next call arrives the parent has no open call on which to send the following ones.
 constexpr int kEarlyCallDivisor = 10;
 
 } // namespace
@@ -41,7 +41,7 @@
 demand_map changedDemand(const demand_map &current, const demand_map &known, std::uint64_t divisor)
 {
     demand_map changed;
-    if (divisor == kNoDemand)
+    if (divisor == kSuppressDemand)
         return changed;
     for (const auto &[account, demand] : current) {
         const auto found = known.find(account);
@@ -58,9 +58,9 @@
 
 std::uint64_t relay::demandDivisor() const
 {
-    // Two periods, so that each link has a call in this time.
+    // Two periods, so that every link has a call within them.
     if (m_ticks % kDemandPeriods >= 2)
-        return kNoDemand;
+        return kSuppressDemand;
     return m_ticks % kFlushPeriods < 2 ? 0 : kDemandDivisor;
 }
 
@@ -78,22 +78,22 @@
     m_members = std::move(members);
     const auto &hosts = m_members.hosts;
     const auto self = std::ranges::find(hosts, m_host);
-    m_self.reset();
+    m_selfIndex.reset();
     if (self != hosts.end())
-        m_self = static_cast<std::size_t>(self - hosts.begin());
-    m_shared.setDamping(hosts.size() > kSmallFleet ? kDampingDivisor : 0);
-    m_vouchedAt.assign(hosts.size(), kNotAcknowledged);
+        m_selfIndex = static_cast<std::size_t>(self - hosts.begin());
+    m_shared.setDamping(hosts.size() > kMaxUndampedHosts ? kDampingDivisor : 0);
+    m_acknowledgedAt.assign(hosts.size(), kNoVouch);
     m_acknowledged.assign(hosts.size(), false);
-    ++m_acknowledgedNews;
-    m_reportsSubtree = true;
-    const auto possible = candidates();
-    if (m_state == tree_state::child && std::ranges::find(possible, m_parent) == possible.end())
-        loseParent(now);
-    else if (m_state == tree_state::root && !possible.empty() && m_openProbes == 0)
+    ++m_acknowledgedRevision;
+    m_isSubtreeReportDue = true;
+    const auto candidateHosts = candidates();
+    if (m_state == tree_state::child && std::ranges::find(candidateHosts, m_parent) == candidateHosts.end())
+        dropParent(now);
+    else if (m_state == tree_state::root && !candidateHosts.empty() && m_openProbes == 0)
         m_nextSearchAt = now;
-    if (possible.empty())
+    if (candidateHosts.empty())
         m_state = tree_state::root;
-    releaseAll(now);
+    respondToAllChildren(now);
 }
 
 void relay::addEvidence(const std::vector<shared_count> &delta)
@@ -111,21 +111,21 @@
 void relay::halt(const std::string &version, instant now)
 {
     if (m_shared.halt(version))
-        noteUrgent(now);
+        propagateUrgentUpdate(now);
 }
 
 void relay::addQuarantined(std::uint64_t fingerprint, instant now)
 {
     if (m_shared.addQuarantined(fingerprint, now))
-        noteUrgent(now);
+        propagateUrgentUpdate(now);
 }
 
-void relay::noteUrgent(instant now)
+void relay::propagateUrgentUpdate(instant now)
 {
-    m_urgentNews = m_shared.lastUpdate();
-    m_wantsCall = true;
-    driveCalls(now);
-    driveChildren(now);
+    m_urgentUpdate = m_shared.lastUpdate();
+    m_isCallDue = true;
+    startDueCalls(now);
+    respondToDueChildren(now);
 }
 
 bool relay::lacksFreshStamp(instant now) const
@@ -140,26 +140,26 @@
     if (now >= m_nextPeriodAt) {
         m_nextPeriodAt = now + period();
         if (++m_ticks % kFlushPeriods == 0)
-            m_shared.announceAll();
+            m_shared.publishAll();
         m_shared.expireQuarantined(now - m_members.quarantineLifetime);
     }
-    driveSearch(now);
-    driveCalls(now);
-    settleAsRoot(now);
-    driveChildren(now);
+    startDueProbes(now);
+    startDueCalls(now);
+    updateAsRoot(now);
+    respondToDueChildren(now);
 }
 
 instant relay::nextTimer() const
 {
     auto next = m_nextPeriodAt;
-    const bool maySearch = m_self && *m_self != 0 && m_openProbes == 0;
+    const bool maySearch = m_selfIndex && *m_selfIndex != 0 && m_openProbes == 0;
     if (maySearch)
         next = std::min(next, m_nextSearchAt);
     if (m_state == tree_state::child && callsToParent() == 0)
         next = std::min(next, m_nextCallAt);
     for (const auto &[name, from] : m_children)
-        if (from.held)
-            next = std::min(next, from.heldSince + period());
+        if (from.waitingCall)
+            next = std::min(next, from.waitingSince + period());
     return next;
 }
 
@@ -174,30 +174,30 @@
         m_calls, [this](const auto &pair) { return !pair.second.isProbe && pair.second.number == m_link.number; }));
 }
 
-void relay::driveCalls(instant now)
+void relay::startDueCalls(instant now)
 {
     if (m_state != tree_state::child)
         return;
     const auto open = callsToParent();
-    // Before its first answer the parent cannot tell two calls of one child apart from two starts of it.
+    // Until the parent's first response is echoed, it can't tell two calls of one child from two starts of the child.
     const auto limit = m_link.echo == instant{} ? 1 : kMaxCallsToParent;
-    if ((open == 0 && now >= m_nextCallAt) || (m_wantsCall && open < limit))
+    if ((open == 0 && now >= m_nextCallAt) || (m_isCallDue && open < limit))
         startCall(now);
 }
 
 void relay::startCall(instant now)
 {
-    m_wantsCall = false;
+    m_isCallDue = false;
     m_nextCallAt = now + period();
-    const call_token token{++m_lastCall};
+    const call_token token{++m_lastCallToken};
     auto request = makeCall(now);
     auto &sent = m_calls[token];
-    sent = {.host = m_parent, .number = m_link.number, .sentAt = now, .sentNews = m_shared.lastUpdate()};
+    sent = {.host = m_parent, .number = m_link.number, .sentAt = now, .sentUpdate = m_shared.lastUpdate()};
     sent.sentDemand = m_link.knownDemand;
     for (const auto &[account, demand] : request.demand)
         sent.sentDemand[account] = demand;
     sent.hadConfig = !request.config.isEmpty();
-    const auto timeout = m_members.exchangePeriod * (1 + kTimeoutPeriods);
+    const auto timeout = m_members.exchangePeriod * (1 + kResponseGracePeriods);
     m_actions.emplace_back(start_exchange{token, m_parent, std::move(request), timeout});
 }
 
@@ -207,13 +207,14 @@
     call.host = m_host;
     call.generation = m_fresh.generation();
     call.echoedClock = m_link.echo;
-    // A parent that does not know this host answers at once and takes nothing; see takeFromChild().
+    // A parent that does not know this host responds at once; it would ignore acknowledgements and deltas, see
+    // applyChildCall().
     if (m_link.echo == instant{})
         return call;
     call.seenUpdate = m_link.seenUpdate;
-    call.shared = m_shared.newsAfter(m_link.confirmedNews, m_link.number);
+    call.shared = m_shared.updatesAfter(m_link.confirmedUpdate, m_link.number);
     call.demand = changedDemand(subtreeDemand(), m_link.knownDemand, demandDivisor());
-    call.acknowledgements = makeVouches(now);
+    call.acknowledgements = makeAcknowledgements(now);
     auto delta = nextDelta();
     call.deltaSequence = delta.sequence;
     call.delta = std::move(delta.counts);
@@ -225,9 +226,9 @@
 delta_queue::delta relay::nextDelta()
 {
     const auto hosts = m_members.hosts.size();
-    if (hosts <= kSmallFleet || m_ticks % kDeltaPeriods == 0)
+    if (hosts <= kMaxUndampedHosts || m_ticks % kDeltaPeriods == 0)
         return m_deltas.next([](const shared_count &) { return true; });
-    // All hosts together may hold back one part in kDampingDivisor of a sum.
+    // All hosts together may delay 1/kDampingDivisor of a sum.
     const auto totals = m_shared.totals();
     return m_deltas.next([&](const shared_count &count) {
         const auto found = totals.find(count.key);
@@ -240,22 +241,22 @@
     });
 }
 
-std::vector<acknowledgement_set> relay::makeVouches(instant now) const
+std::vector<acknowledgement_set> relay::makeAcknowledgements(instant now) const
 {
-    // Two groups, so that one slow subtree does not make the vouches of the others old.
-    acknowledgement_set recent{host_bits(m_vouchedAt.size())};
+    // Two groups, as a group has the lag of its oldest acknowledgement: one slow subtree must not age all the others.
+    acknowledgement_set recent{host_bits(m_acknowledgedAt.size())};
     acknowledgement_set old = recent;
-    const auto add = [&](std::size_t member, instant vouchedAt) {
-        const auto lag = std::max(instant{}, m_link.echoReceivedAt - vouchedAt);
+    const auto add = [&](std::size_t member, instant acknowledgedAt) {
+        const auto lag = std::max(instant{}, m_link.echoReceivedAt - acknowledgedAt);
         auto &group = lag <= 2 * period() ? recent : old;
         group.members[member] = true;
         group.lag = std::max(group.lag, lag);
     };
-    for (std::size_t i = 0; i < m_vouchedAt.size(); ++i)
-        if (m_fresh.isAcknowledgementValid(m_vouchedAt[i], now))
-            add(i, m_vouchedAt[i]);
-    if (m_self && m_fresh.mayAcknowledge())
-        add(*m_self, now);
+    for (std::size_t i = 0; i < m_acknowledgedAt.size(); ++i)
+        if (m_fresh.isAcknowledged(m_acknowledgedAt[i], now))
+            add(i, m_acknowledgedAt[i]);
+    if (m_selfIndex && m_fresh.mayVouch())
+        add(*m_selfIndex, now);
     std::vector<acknowledgement_set> groups;
     for (auto *group : {&recent, &old})
         if (std::ranges::find(group->members, true) != group->members.end())
@@ -263,7 +264,7 @@
     return groups;
 }
 
-void relay::handleResponse(call_token token, const result<exchange_response> &answer, instant now)
+void relay::handleResponse(call_token token, const result<exchange_response> &response, instant now)
 {
     const auto found = m_calls.find(token);
     if (found == m_calls.end())
@@ -271,105 +272,105 @@
     const auto sent = std::move(found->second);
     m_calls.erase(found);
     if (sent.isProbe) {
-        const bool isAlive = answer.has_value();
-        const bool isFresh = isAlive && answer.value().generation >= m_fresh.generation() && answer.value().stampAge
-            && *answer.value().stampAge < 3 * m_fresh.lease() / 4;
-        takeProbeReply(sent.host, isAlive && (isFresh || m_state != tree_state::child), now);
+        const bool isAlive = response.has_value();
+        const bool isFresh = isAlive && response.value().generation >= m_fresh.generation() && response.value().stampAge
+            && *response.value().stampAge < 3 * m_fresh.lease() / 4;
+        handleProbeResponse(sent.host, isAlive && (isFresh || m_state != tree_state::child), now);
     } else if (sent.number == m_link.number && m_state == tree_state::child) {
-        if (answer.has_value())
-            takeReply(sent, answer.value(), now);
+        if (response.has_value())
+            handleParentResponse(sent, response.value(), now);
         else
-            loseParent(now);
+            dropParent(now);
     }
     tick(now);
 }
 
-void relay::takeReply(const outgoing_call &sent, const exchange_response &answer, instant now)
+void relay::handleParentResponse(const outgoing_call &sent, const exchange_response &response, instant now)
 {
-    if (answer.isUnknownChild)
+    if (response.isUnknownChild)
         restartLink();
-    if (answer.clock > m_link.echo) {
-        m_link.echo = answer.clock;
+    if (response.clock > m_link.echo) {
+        m_link.echo = response.clock;
         m_link.echoReceivedAt = now;
     }
-    if (!answer.isUnknownChild) {
-        m_link.confirmedNews = std::max(m_link.confirmedNews, sent.sentNews);
+    if (!response.isUnknownChild) {
+        m_link.confirmedUpdate = std::max(m_link.confirmedUpdate, sent.sentUpdate);
         m_link.knownDemand = sent.sentDemand;
-        m_deltas.confirm(answer.appliedDeltaSequence);
+        m_deltas.confirm(response.appliedDeltaSequence);
     }
     m_nextCallAt = std::min(m_nextCallAt, now + period() / kEarlyCallDivisor);
-    m_link.seenUpdate = std::max(m_link.seenUpdate, answer.lastUpdate);
-    m_link.generation = answer.generation;
-    // The stamp first: a host that adopts a generation passes it on at once, and dispatches under it from then on.
-    takeStamp(sent, answer);
-    takeConfig(answer.config, answer.generation);
-    takeAcknowledged(answer);
-    if (m_shared.merge(answer.shared, m_link.number, now)) {
-        m_urgentNews = m_shared.lastUpdate();
-        releaseAll(now);
+    m_link.seenUpdate = std::max(m_link.seenUpdate, response.lastUpdate);
+    m_link.generation = response.generation;
+    // The stamp comes first: on adopting a generation, a host forwards it at once and dispatches under it from then on.
+    applyStamp(sent, response);
+    applyConfig(response.config, response.generation);
+    applyAcknowledged(response);
+    if (m_shared.merge(response.shared, m_link.number, now)) {
+        m_urgentUpdate = m_shared.lastUpdate();
+        respondToAllChildren(now);
     }
-    for (const auto &[account, demand] : answer.demandTotals)
-        m_totals[account] = demand;
-    // The parent does not know this host yet, or lacks a configuration that was not in the call.
-    const bool isBehind = answer.generation < m_fresh.generation() && !sent.hadConfig;
-    if (answer.isUnknownChild || isBehind)
-        m_wantsCall = true;
-    if (!m_betterParent.empty() && !m_deltas.hasUnconfirmed())
-        changeParent(std::exchange(m_betterParent, {}), now);
+    for (const auto &[account, demand] : response.demandTotals)
+        m_demandTotals[account] = demand;
+    // Call again if the parent does not know this host yet, or lacks a configuration that was not in the call.
+    const bool isBehind = response.generation < m_fresh.generation() && !sent.hadConfig;
+    if (response.isUnknownChild || isBehind)
+        m_isCallDue = true;
+    if (!m_preferredParent.empty() && !m_deltas.hasUnconfirmed())
+        changeParent(std::exchange(m_preferredParent, {}), now);
 }
 
-void relay::takeStamp(const outgoing_call &sent, const exchange_response &answer)
+void relay::applyStamp(const outgoing_call &sent, const exchange_response &response)
 {
-    if (!answer.stampAge)
+    if (!response.stampAge)
         return;
-    // The parent cannot have received the call before it was sent.
-    m_fresh.stamp({answer.generation, sent.sentAt + answer.waitTime - *answer.stampAge});
+    // The parent can't have received the call before it was sent, so this bound never overestimates the freshness.
+    m_fresh.stamp({response.generation, sent.sentAt + response.waitTime - *response.stampAge});
 }
 
-void relay::takeAcknowledged(const exchange_response &answer)
+void relay::applyAcknowledged(const exchange_response &response)
 {
-    if (!answer.acknowledged || answer.generation != m_fresh.generation())
+    if (!response.acknowledged || response.generation != m_fresh.generation())
         return;
-    auto bits = *answer.acknowledged;
+    auto bits = *response.acknowledged;
     bits.resize(m_members.hosts.size());
     if (bits == m_acknowledged)
         return;
     m_acknowledged = std::move(bits);
-    ++m_acknowledgedNews;
+    ++m_acknowledgedRevision;
 }
 
 void relay::restartLink()
 {
     m_link = {};
     m_link.number = ++m_lastLink;
-    m_deltas.changeParent();
-    m_wantsCall = true;
+    m_deltas.dropUnconfirmed();
+    m_isCallDue = true;
 }
 
 const std::map<count_key, count_values> &relay::countsOfOthers()
 {
     for (const auto &[key, total] : m_shared.totals()) {
-        auto &others = m_others[key];
+        auto &others = m_countsOfOthers[key];
         const auto own = m_contributed.find(key);
         for (std::size_t i = 0; i < total.size(); ++i) {
             const auto part = own == m_contributed.end() ? 0 : own->second[i];
             others[i] = std::max(others[i], total[i] > part ? total[i] - part : 0);
         }
     }
-    return m_others;
+    return m_countsOfOthers;
 }
 
 std::map<std::string, double> relay::limitShares() const
 {
     std::map<std::string, double> shares;
     const auto hosts = static_cast<double>(std::max<std::size_t>(m_members.hosts.size(), 1));
-    auto totals = m_totals;
+    auto totals = m_demandTotals;
     for (const auto &[account, demand] : m_demand)
         totals[account] = std::max(totals[account], demand);
     for (const auto &[account, total] : totals) {
         const auto found = m_demand.find(account);
         const auto own = found == m_demand.end() ? 0.0 : static_cast<double>(found->second);
-        // A fifth of the limit is spread evenly, so that a host without demand so far can admit its first requests.
+        // A fifth of the limit is divided evenly, so that a host without demand so far can admit its first requests.
         const auto spread = static_cast<double>(total) / 4;
         shares[account] = total == 0 ? 1 / hosts : (own + spread / hosts) / (static_cast<double>(total) + spread);
     }
--- a/src/relay_p.h
+++ b/src/relay_p.h
@@ -1,5 +1,5 @@
-// Relay tree: position of this host among the registered hosts, and the exchange with its parent and its children.
-// Pure state machine: no I/O, no clock, no wire format. Section 5 of docs/design.md states the rules.
+// Relay tree: the position of this host among the registered hosts, and the exchange with its parent and children.
+// A state machine without I/O, clock or wire format. Section 5 of docs/design.md specifies the protocol.
 #pragma once
 
 #include "freshness_p.h"
@@ -11,44 +11,44 @@
 namespace foxtaildyke
 {
 
-/// The members that a host tries as its parent, best first.
+/// Members that a host probes for a parent, in order of preference.
 struct parent_candidates {
-    /// Ancestors; then the members that are lower by a power of two, lowest first, so that a part of the fleet that is
-    /// cut off from all its ancestors becomes a tree of logarithmic depth and not a chain; then the others from the
-    /// nearest one.
+    /// The ancestors; then the members whose index is lower by a power of two, lowest first, so that a partition
+    /// without any of its ancestors forms a tree of logarithmic depth instead of a chain; then the others, nearest
+    /// first.
     std::vector<std::size_t> order;
-    std::size_t firstRound = 0; ///< the first ones, asked at the same time: the ancestors and the powers of two
+    std::size_t firstRoundSize = 0; ///< entries probed in parallel first: the ancestors and the powers of two
 };
 
-/// @param index of the host among the sorted members.
+/// @param index position of the host among the sorted members.
 [[nodiscard]] parent_candidates parentCandidates(std::size_t index, std::size_t fanOut);
 
-/// One bit for each registered host, in the order of fleet::hosts.
+/// One bit per registered host, in the order of fleet::hosts.
 using host_bits = std::vector<bool>;
 
-/// Vouches of several hosts for the generation of the message.
+/// Acknowledgements by several hosts of the generation in the message.
 struct acknowledgement_set {
-    host_bits members; ///< trailing false bits may be left out
-    instant lag{}; ///< how long before the receipt of the echoed clock value the oldest of them was made
+    host_bits members; ///< trailing false bits may be omitted
+    instant lag{}; ///< time from the oldest acknowledgement to the receipt of the echoed clock value
     bool operator==(const acknowledgement_set &) const = default;
 };
 
-/// Demand of client accounts in thousandths of requests per second.
+/// Demand per client account in thousandths of a request per second.
 using demand_map = std::map<std::string, std::uint64_t>;
 
-/// @returns entries that differ from what the other side knows by more than one part in `divisor`, or at all where it
-/// is 0; removed ones as 0.
+/// @returns the entries that differ from what the other side knows by more than 1/divisor, or by any amount if divisor
+/// is 0. Removed entries are returned as 0.
 [[nodiscard]] demand_map changedDemand(const demand_map &current, const demand_map &known, std::uint64_t divisor);
 
-/// Configuration on its way to a host that lacks it: changes in order, or the whole document.
+/// Configuration sent to a host that lacks it: the changes in order, or the whole document.
 struct config_content {
-    std::vector<std::string> changes; ///< JSON of one config_change each
-    std::string document; ///< JSON of a config_document
+    std::vector<std::string> changes; ///< each one a config_change as JSON
+    std::string document; ///< a config_document as JSON
     [[nodiscard]] bool isEmpty() const { return changes.empty() && document.empty(); }
     bool operator==(const config_content &) const = default;
 };
 
-/// From a child to its parent. Fields as in exchange_request of proto/peer.proto.
+/// Request of a child to its parent. The fields match exchange_request in proto/peer.proto.
 struct exchange_call {
     std::string host;
     generation_number generation = 0;
@@ -63,7 +63,7 @@
     config_content config;
 };
 
-/// From a parent to its child. Fields as in exchange_reply of proto/peer.proto.
+/// Response of a parent to its child. The fields match exchange_reply in proto/peer.proto.
 struct exchange_response {
     generation_number generation = 0;
     instant clock{};
@@ -78,38 +78,38 @@
     bool isUnknownChild = false;
 };
 
-/// Identifies a call that this host made.
+/// Identifies an outgoing call.
 enum class call_token : std::uint64_t {};
 
-/// Identifies a call that another host made and that waits for its answer.
+/// Identifies an incoming call that awaits its response.
 enum class response_token : std::uint64_t {};
 
-/// The owner has to call Exchange on a host and to hand the result to relay::handleResponse().
+/// Asks the owner to call Exchange on a host and to pass the result to relay::handleResponse().
 struct start_exchange {
     call_token call{};
     std::string host;
     exchange_call request;
     std::chrono::milliseconds timeout{};
 };
-/// The owner has to answer a call that it handed to relay::handleCall().
+/// Asks the owner to respond to a call that it passed to relay::handleCall().
 struct respond_to_exchange {
     response_token call{};
     exchange_response response;
 };
 using relay_action = std::variant<start_exchange, respond_to_exchange>;
 
-/// The configuration as far as the relay needs it.
+/// The part of the configuration that the relay uses.
 struct relay_members {
     std::vector<std::string> hosts; ///< registered hosts in the order of fleet::hosts
     std::chrono::milliseconds exchangePeriod{500};
     std::chrono::seconds quarantineLifetime{600};
 };
 
-/// What the relay needs from its owner.
+/// Callbacks of the relay into its owner.
 struct relay_hooks {
-    /// Decodes and adopts a configuration (freshness::adopt, relay::setMembers) before it returns.
+    /// Decodes and adopts a configuration synchronously (freshness::adopt, relay::setMembers).
     std::function<void(const config_content &)> adoptConfig;
-    /// @returns what a host that holds this generation lacks; empty where it lacks nothing.
+    /// @returns the configuration newer than the given generation; empty if there is none.
     std::function<config_content(generation_number)> configAfter;
 };
 
@@ -118,14 +118,14 @@
 public:
     static constexpr std::size_t kFanOut = 8;
 
-    /// @param fresh shared with the owner; both outlive no callback.
-    /// @param ownTally random number of this process.
+    /// @param ownTally random number that identifies this process.
+    /// @param fresh shared with the owner. The hooks must stay callable as long as this object and `fresh` exist.
     relay(std::string hostName, tally_id ownTally, freshness &fresh, relay_hooks hooks, std::size_t fanOut = kFanOut);
 
-    /// Takes the members of the generation that `fresh` has just adopted.
+    /// Applies the members of the generation that `fresh` has just adopted.
     void setMembers(relay_members members, instant now);
 
-    // What this host contributes.
+    // Contributions of this host.
     void addEvidence(const std::vector<shared_count> &delta);
     void setDemand(demand_map demand);
     void halt(const std::string &version, instant now);
@@ -133,113 +133,113 @@
 
     // Exchange.
     void handleCall(response_token token, const exchange_call &call, instant now);
-    void handleResponse(call_token token, const result<exchange_response> &answer, instant now);
+    void handleResponse(call_token token, const result<exchange_response> &response, instant now);
 
-    /// Drives the exchange; to be called at nextTimer() at the latest.
+    /// Runs all due work; must be called no later than nextTimer().
     void tick(instant now);
     [[nodiscard]] instant nextTimer() const;
     [[nodiscard]] std::vector<relay_action> takeActions();
 
-    /// @returns whether this host has found no parent: it reads the store.
+    /// @returns whether this host has no parent and therefore reads the store.
     [[nodiscard]] bool isRoot() const { return m_state == tree_state::root; }
 
-    /// @returns whether the parent leaves this host without a fresh stamp: it reads the store as well, less often.
+    /// @returns whether the parent provides no fresh stamp, so that this host reads the store too, at a lower rate.
     [[nodiscard]] bool lacksFreshStamp(instant now) const;
     [[nodiscard]] const std::string &parent() const { return m_parent; }
 
-    // What all hosts share.
+    // State shared by all hosts.
     [[nodiscard]] const shared_state &shared() const { return m_shared; }
 
-    /// @returns counts of the other hosts: the totals without what this host has contributed. They never shrink, so
-    /// that a result is learnt once.
+    /// @returns the counts of the other hosts: the totals minus the contribution of this host. They never decrease, so
+    /// that each result is applied once.
     [[nodiscard]] const std::map<count_key, count_values> &countsOfOthers();
 
-    /// @returns which share of an account's limit this host may use; the shares of all hosts add up to one.
+    /// @returns the share of each account's limit that this host may use; the shares of all hosts add up to one.
     [[nodiscard]] std::map<std::string, double> limitShares() const;
 
-    /// @returns the registered hosts that hold the generation of this host, as one consistent observation of the root.
+    /// @returns the registered hosts that hold the generation of this host, as observed consistently by the root.
     [[nodiscard]] std::vector<std::string> acknowledgedHosts() const;
     [[nodiscard]] std::size_t acknowledgedCount() const;
 
 private:
     enum class tree_state : std::uint8_t { root, searching, child };
 
-    /// State kept for one child.
+    /// State of one child.
     struct child_state {
         link_number number = kNoLink;
         instant lastCallAt{};
         generation_number generation = 0; ///< of the last call
-        instant issuedClock{}; ///< of the last answer
-        instant issuedBefore{}; ///< of the answer before; two calls of a child may overlap
-        std::uint64_t takenSequence = 0;
+        instant issuedClock{}; ///< in the latest response
+        instant issuedBefore{}; ///< in the response before it; two calls of a child may overlap
+        std::uint64_t appliedSequence = 0;
         demand_map demand;
-        // What the answer at issuedClock brought, and what the child is known to have.
-        update_sequence sentAcknowledged = 0;
-        update_sequence knownAcknowledged = 0;
+        // What the response at issuedClock contained, and what the child is known to have received.
+        update_sequence sentAcknowledgedRevision = 0;
+        update_sequence knownAcknowledgedRevision = 0;
         demand_map sentTotals;
         demand_map knownTotals;
-        // The call that waits, if any.
-        std::optional<response_token> held;
-        instant heldSince{};
+        // The call that awaits its response, if any.
+        std::optional<response_token> waitingCall;
+        instant waitingSince{};
         update_sequence seenUpdate = 0; ///< of the last call
         bool isUnknown = false;
     };
-    /// State kept for the link to the parent.
+    /// State of the link to the parent.
     struct parent_link {
         link_number number = kNoLink;
-        instant echo{}; ///< the parent's clock in its newest answer; 0 before the first
+        instant echo{}; ///< the parent's clock in its latest response; 0 before the first one
         instant echoReceivedAt{};
         update_sequence seenUpdate = 0;
-        update_sequence confirmedNews = 0; ///< of this host's shared state, known to the parent
-        generation_number generation = 0; ///< that the parent holds
+        update_sequence confirmedUpdate = 0; ///< last update of this host's shared state that the parent has
+        generation_number generation = 0; ///< held by the parent
         demand_map knownDemand;
     };
-    /// A call that this host made.
+    /// An outgoing call without a response so far.
     struct outgoing_call {
         std::string host;
         bool isProbe = false;
         link_number number = kNoLink;
         instant sentAt{};
-        update_sequence sentNews = 0;
+        update_sequence sentUpdate = 0;
         demand_map sentDemand;
         bool hadConfig = false;
     };
 
     // Child side (relay.cpp).
-    void driveCalls(instant now);
+    void startDueCalls(instant now);
     void startCall(instant now);
     [[nodiscard]] exchange_call makeCall(instant now);
-    [[nodiscard]] std::vector<acknowledgement_set> makeVouches(instant now) const;
+    [[nodiscard]] std::vector<acknowledgement_set> makeAcknowledgements(instant now) const;
     [[nodiscard]] delta_queue::delta nextDelta();
-    void takeReply(const outgoing_call &sent, const exchange_response &answer, instant now);
-    void takeStamp(const outgoing_call &sent, const exchange_response &answer);
-    void takeAcknowledged(const exchange_response &answer);
+    void handleParentResponse(const outgoing_call &sent, const exchange_response &response, instant now);
+    void applyStamp(const outgoing_call &sent, const exchange_response &response);
+    void applyAcknowledged(const exchange_response &response);
     void restartLink();
     [[nodiscard]] std::size_t callsToParent() const;
 
     // Search for a parent (relay_search.cpp).
-    void driveSearch(instant now);
+    void startDueProbes(instant now);
     void startProbes(std::size_t first, std::size_t count, instant now);
-    void takeProbeReply(const std::string &host, bool isEligible, instant now);
-    void endProbes(instant now);
+    void handleProbeResponse(const std::string &host, bool isEligible, instant now);
+    void finishProbeRound(instant now);
     void changeParent(const std::string &parent, instant now);
-    void loseParent(instant now);
+    void dropParent(instant now);
     [[nodiscard]] std::vector<std::string> candidates() const;
-    [[nodiscard]] std::size_t firstRound() const;
+    [[nodiscard]] std::size_t firstRoundSize() const;
 
     // Parent side (relay_children.cpp).
-    void takeFromChild(child_state &from, const exchange_call &call, instant now);
-    void takeVouches(const exchange_call &call);
-    void takeConfig(const config_content &config, generation_number generation);
-    void answerChild(child_state &to, instant now);
-    void answerProbe(response_token token, instant now);
-    void driveChildren(instant now);
-    void releaseAll(instant now);
-    [[nodiscard]] bool hasNewsFor(const child_state &to) const;
-    [[nodiscard]] exchange_response makeAnswer(child_state &to, instant now);
-    void settleAsRoot(instant now);
+    void applyChildCall(child_state &from, const exchange_call &call, instant now);
+    void applyAcknowledgements(const exchange_call &call);
+    void applyConfig(const config_content &config, generation_number generation);
+    void respondToChild(child_state &to, instant now);
+    void respondToProbe(response_token token, instant now);
+    void respondToDueChildren(instant now);
+    void respondToAllChildren(instant now);
+    [[nodiscard]] bool needsEarlyResponse(const child_state &to) const;
+    [[nodiscard]] exchange_response makeResponse(child_state &to, instant now);
+    void updateAsRoot(instant now);
     void updateAcknowledged(instant now);
-    void noteUrgent(instant now);
+    void propagateUrgentUpdate(instant now);
     [[nodiscard]] demand_map subtreeDemand() const;
     [[nodiscard]] std::uint64_t demandDivisor() const;
 
@@ -250,39 +250,39 @@
     relay_hooks m_hooks;
     std::size_t m_fanOut;
     relay_members m_members;
-    std::optional<std::size_t> m_self; ///< index among the members
+    std::optional<std::size_t> m_selfIndex; ///< index among the members
     link_number m_lastLink = kNoLink;
 
     // Shared state.
     shared_state m_shared;
     delta_queue m_deltas;
     std::map<count_key, count_values> m_contributed; ///< counts of this host since its start
-    std::map<count_key, count_values> m_others; ///< never shrinks
+    std::map<count_key, count_values> m_countsOfOthers; ///< never decreases
     demand_map m_demand; ///< of this host
-    demand_map m_totals; ///< of all hosts, or of the subtree where this host is a root
-    update_sequence m_urgentNews = 0; ///< news up to which waiting calls are answered at once
-    std::uint64_t m_ticks = 0; ///< exchange periods that have passed
+    demand_map m_demandTotals; ///< of all hosts; on a root, of its subtree
+    update_sequence m_urgentUpdate = 0; ///< calls that have not seen this update get a response at once
+    std::uint64_t m_ticks = 0; ///< elapsed exchange periods
     instant m_nextPeriodAt{};
 
-    // Vouches and acknowledgements; both by member, for the held generation.
-    std::vector<instant> m_vouchedAt;
+    // Acknowledgements of the adopted generation, indexed by member.
+    std::vector<instant> m_acknowledgedAt;
     host_bits m_acknowledged;
-    update_sequence m_acknowledgedNews = 1; ///< raised by each change of m_acknowledged
-    bool m_reportsSubtree = false; ///< the parent still has to be told that the whole subtree holds the generation
+    update_sequence m_acknowledgedRevision = 1; ///< incremented by each change of m_acknowledged
+    bool m_isSubtreeReportDue = false; ///< whether to report to the parent once the whole subtree holds the generation
 
     // Tree.
     tree_state m_state = tree_state::root;
     std::string m_parent; ///< empty unless m_state is child
-    std::string m_betterParent; ///< to change to once no call to the parent is open
+    std::string m_preferredParent; ///< parent to change to once all counts sent to the present one are confirmed
     parent_link m_link;
     std::map<std::string, child_state> m_children;
     std::map<call_token, outgoing_call> m_calls;
-    std::uint64_t m_lastCall = 0;
+    std::uint64_t m_lastCallToken = 0;
     instant m_nextCallAt{};
-    bool m_wantsCall = false; ///< there is news for the parent
+    bool m_isCallDue = false; ///< whether to call the parent before the next period
     instant m_nextSearchAt{};
-    std::size_t m_searchPosition = 0;
-    std::map<std::string, bool> m_probeResults; ///< of the present round: whether the candidate can be the parent
+    std::size_t m_nextCandidate = 0;
+    std::map<std::string, bool> m_probeResults; ///< in the current round: whether the candidate can be the parent
     std::size_t m_openProbes = 0;
     std::vector<relay_action> m_actions;
 };
--- a/src/relay_search.cpp
+++ b/src/relay_search.cpp
@@ -1,4 +1,4 @@
-// Relay tree: how a host finds its parent, and finds another when the parent fails; see relay_p.h.
+// Relay tree: search for a parent at the start and after a parent has failed; see relay_p.h.
 #include "relay_p.h"
 
 #include <bit>
@@ -11,11 +11,11 @@
 
 constexpr int kProbeTimeoutPeriods = 2;
 
-/// A root asks this many further members in each period.
-constexpr std::size_t kFurtherRound = 4;
+/// A root probes this many further members per period after its first round.
+constexpr std::size_t kProbesPerRound = 4;
 
-/// Periods between two attempts to return to a better parent.
-constexpr int kReturnPeriods = 10;
+/// Periods between two attempts to move to a preferred parent.
+constexpr int kReparentPeriods = 10;
 
 } // namespace
 
@@ -32,7 +32,7 @@
         add(i = (i - 1) / fanOut);
     for (auto jump = std::bit_floor(index); jump != 0; jump /= 2)
         add(index - jump);
-    list.firstRound = list.order.size();
+    list.firstRoundSize = list.order.size();
     for (auto i = index; i-- > 0;)
         add(i);
     return list;
@@ -41,64 +41,65 @@
 std::vector<std::string> relay::candidates() const
 {
     std::vector<std::string> names;
-    if (!m_self)
+    if (!m_selfIndex)
         return names;
-    for (const auto i : parentCandidates(*m_self, m_fanOut).order)
+    for (const auto i : parentCandidates(*m_selfIndex, m_fanOut).order)
         names.push_back(m_members.hosts[i]);
     return names;
 }
 
-std::size_t relay::firstRound() const
+std::size_t relay::firstRoundSize() const
 {
-    return parentCandidates(m_self.value_or(0), m_fanOut).firstRound;
+    return parentCandidates(m_selfIndex.value_or(0), m_fanOut).firstRoundSize;
 }
 
-void relay::driveSearch(instant now)
+void relay::startDueProbes(instant now)
 {
-    if (!m_self || *m_self == 0 || m_openProbes != 0 || now < m_nextSearchAt)
+    if (!m_selfIndex || *m_selfIndex == 0 || m_openProbes != 0 || now < m_nextSearchAt)
         return;
-    m_nextSearchAt = now + period() * (m_state == tree_state::child ? kReturnPeriods : 1);
-    const auto possible = candidates();
+    m_nextSearchAt = now + period() * (m_state == tree_state::child ? kReparentPeriods : 1);
+    const auto candidateHosts = candidates();
     if (m_state != tree_state::child) {
-        if (m_searchPosition >= possible.size())
-            m_searchPosition = 0;
-        const auto first = m_searchPosition;
-        const auto count = first == 0 ? firstRound() : kFurtherRound;
-        m_searchPosition += count;
+        if (m_nextCandidate >= candidateHosts.size())
+            m_nextCandidate = 0;
+        const auto first = m_nextCandidate;
+        const auto count = first == 0 ? firstRoundSize() : kProbesPerRound;
+        m_nextCandidate += count;
         startProbes(first, count, now);
         return;
     }
-    const auto position = static_cast<std::size_t>(std::ranges::find(possible, m_parent) - possible.begin());
-    // A parent without a fresh stamp may be cut off while others are not.
+    const auto position =
+        static_cast<std::size_t>(std::ranges::find(candidateHosts, m_parent) - candidateHosts.begin());
+    // A parent without a fresh stamp may be partitioned while other members are not.
     if (lacksFreshStamp(now))
-        startProbes(0, std::max(firstRound(), position), now);
+        startProbes(0, std::max(firstRoundSize(), position), now);
     else if (position > 0)
-        startProbes(0, std::min(firstRound(), position), now);
+        startProbes(0, std::min(firstRoundSize(), position), now);
 }
 
 void relay::startProbes(std::size_t first, std::size_t count, instant now)
 {
-    const auto possible = candidates();
+    const auto candidateHosts = candidates();
     m_probeResults.clear();
-    for (auto i = first; i < std::min(first + count, possible.size()); ++i) {
-        if (possible[i] == m_parent)
+    for (auto i = first; i < std::min(first + count, candidateHosts.size()); ++i) {
+        if (candidateHosts[i] == m_parent)
             continue;
-        const call_token token{++m_lastCall};
-        m_calls[token] = {.host = possible[i], .isProbe = true, .sentAt = now};
+        const call_token token{++m_lastCallToken};
+        m_calls[token] = {.host = candidateHosts[i], .isProbe = true, .sentAt = now};
         exchange_call request;
         request.host = m_host;
         request.isProbe = true;
         const auto timeout = m_members.exchangePeriod * kProbeTimeoutPeriods;
-        m_actions.emplace_back(start_exchange{token, possible[i], std::move(request), timeout});
+        m_actions.emplace_back(start_exchange{token, candidateHosts[i], std::move(request), timeout});
         ++m_openProbes;
     }
 }
 
-void relay::takeProbeReply(const std::string &host, bool isEligible, instant now)
+void relay::handleProbeResponse(const std::string &host, bool isEligible, instant now)
 {
     m_openProbes -= m_openProbes > 0 ? 1 : 0;
     m_probeResults[host] = isEligible;
-    // The best candidate is known once all before it have answered or failed.
+    // A candidate can be chosen once all those before it have responded or failed.
     for (const auto &name : candidates()) {
         const auto found = m_probeResults.find(name);
         const bool isPending = std::ranges::any_of(
@@ -108,46 +109,46 @@
         if (found == m_probeResults.end() || !found->second)
             continue;
         if (m_state == tree_state::child)
-            m_betterParent = name;
+            m_preferredParent = name;
         else
             changeParent(name, now);
         break;
     }
     if (m_openProbes == 0)
-        endProbes(now);
+        finishProbeRound(now);
 }
 
-void relay::endProbes(instant now)
+void relay::finishProbeRound(instant now)
 {
     m_probeResults.clear();
     if (m_state == tree_state::searching) {
         m_state = tree_state::root;
         m_nextSearchAt = now + period();
     }
-    // Counts that the present parent may have taken are lost in a change; takeReply() changes when it has confirmed
-    // them.
-    if (m_state != tree_state::child || m_betterParent.empty() || m_deltas.hasUnconfirmed())
+    // A change drops unconfirmed counts, as the present parent may have applied them. handleParentResponse() changes
+    // the parent once they are confirmed.
+    if (m_state != tree_state::child || m_preferredParent.empty() || m_deltas.hasUnconfirmed())
         return;
-    changeParent(std::exchange(m_betterParent, {}), now);
+    changeParent(std::exchange(m_preferredParent, {}), now);
 }
 
 void relay::changeParent(const std::string &parent, instant now)
 {
     m_state = tree_state::child;
     m_parent = parent;
-    m_betterParent.clear();
-    m_searchPosition = 0;
-    m_totals.clear();
+    m_preferredParent.clear();
+    m_nextCandidate = 0;
+    m_demandTotals.clear();
     restartLink();
     m_nextCallAt = now;
-    m_nextSearchAt = now + period() * kReturnPeriods;
+    m_nextSearchAt = now + period() * kReparentPeriods;
 }
 
-void relay::loseParent(instant now)
+void relay::dropParent(instant now)
 {
     m_parent.clear();
-    m_betterParent.clear();
-    m_searchPosition = 0;
+    m_preferredParent.clear();
+    m_nextCandidate = 0;
     m_state = tree_state::searching;
     restartLink();
     m_nextSearchAt = now;
--- a/src/relay_shared.cpp
+++ b/src/relay_shared.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Roots change seldom; past this number the tally that changed least recently is forgotten. Old evidence then counts
-/// for less, and nothing counts twice.
+/// Limit of the number of tallies; roots change rarely. Beyond it, the least recently updated tally is evicted: old
+/// evidence is lost then, but none is counted twice.
 constexpr std::size_t kMaxTallies = 64;
 
 void addTo(count_values &sum, const count_values &values)
@@ -34,26 +34,26 @@
 {
 }
 
-void shared_state::noteGrowth(count_item &entry, link_number link)
+void shared_state::recordGrowth(count_item &entry, link_number link)
 {
-    const auto isDue = [this](std::uint64_t now, std::uint64_t announced) {
-        const auto step = m_dampingDivisor == 0 ? 0 : announced / m_dampingDivisor;
-        return now > announced + step;
+    const auto isDue = [this](std::uint64_t current, std::uint64_t published) {
+        const auto step = m_dampingDivisor == 0 ? 0 : published / m_dampingDivisor;
+        return current > published + step;
     };
     entry.state.link = link;
-    if (!std::ranges::equal(entry.values, entry.announced, std::not_fn(isDue))) {
-        entry.announced = entry.values;
-        entry.state.changed = ++m_news;
+    if (!std::ranges::equal(entry.values, entry.published, std::not_fn(isDue))) {
+        entry.published = entry.values;
+        entry.state.changed = ++m_lastUpdate;
     }
 }
 
-void shared_state::announceAll()
+void shared_state::publishAll()
 {
     for (auto &[key, entry] : m_counts) {
-        if (entry.values == entry.announced)
+        if (entry.values == entry.published)
             continue;
-        entry.announced = entry.values;
-        entry.state.changed = ++m_news;
+        entry.published = entry.values;
+        entry.state.changed = ++m_lastUpdate;
     }
 }
 
@@ -62,39 +62,39 @@
     for (const auto &count : delta) {
         auto &entry = m_counts[{m_ownTally, count.key}];
         addTo(entry.values, count.values);
-        noteGrowth(entry, kNoLink);
+        recordGrowth(entry, kNoLink);
     }
-    dropOldestTally();
+    evictOldestTally();
 }
 
-bool shared_state::merge(const shared_updates &news, link_number link, instant now)
+bool shared_state::merge(const shared_updates &updates, link_number link, instant now)
 {
-    for (const auto &tally : news.tallies) {
+    for (const auto &tally : updates.tallies) {
         for (const auto &count : tally.counts) {
             auto &entry = m_counts[{tally.root, count.key}];
             const auto before = entry.values;
             std::ranges::transform(entry.values, count.values, entry.values.begin(),
                                    [](auto a, auto b) { return std::max(a, b); });
             if (entry.values != before)
-                noteGrowth(entry, link);
+                recordGrowth(entry, link);
         }
     }
-    dropOldestTally();
+    evictOldestTally();
     bool isUrgent = false;
-    for (const auto &version : news.haltedVersions)
-        if (m_halted.try_emplace(version, item{m_news + 1, link}).second) {
-            ++m_news;
+    for (const auto &version : updates.haltedVersions)
+        if (m_halted.try_emplace(version, item{m_lastUpdate + 1, link}).second) {
+            ++m_lastUpdate;
             isUrgent = true;
         }
-    for (const auto fingerprint : news.quarantined)
-        if (m_quarantined.try_emplace(fingerprint, item{m_news + 1, link, now}).second) {
-            ++m_news;
+    for (const auto fingerprint : updates.quarantined)
+        if (m_quarantined.try_emplace(fingerprint, item{m_lastUpdate + 1, link, now}).second) {
+            ++m_lastUpdate;
             isUrgent = true;
         }
     return isUrgent;
 }
 
-void shared_state::dropOldestTally()
+void shared_state::evictOldestTally()
 {
     std::map<tally_id, update_sequence> newest;
     for (const auto &[key, entry] : m_counts)
@@ -117,29 +117,29 @@
 
 void shared_state::expireQuarantined(instant before)
 {
-    std::erase_if(m_quarantined, [before](const auto &pair) { return pair.second.learntAt < before; });
+    std::erase_if(m_quarantined, [before](const auto &pair) { return pair.second.receivedAt < before; });
 }
 
-shared_updates shared_state::newsAfter(update_sequence seen, link_number link) const
+shared_updates shared_state::updatesAfter(update_sequence seen, link_number link) const
 {
-    const auto isWanted = [seen, link](const item &state) {
+    const auto isUnsent = [seen, link](const item &state) {
         return state.changed > seen && (link == kNoLink || state.link != link);
     };
-    shared_updates news;
+    shared_updates updates;
     for (const auto &[key, entry] : m_counts) {
-        if (!isWanted(entry.state))
+        if (!isUnsent(entry.state))
             continue;
-        if (news.tallies.empty() || news.tallies.back().root != key.first)
-            news.tallies.push_back({key.first, {}});
-        news.tallies.back().counts.push_back({key.second, entry.values});
+        if (updates.tallies.empty() || updates.tallies.back().root != key.first)
+            updates.tallies.push_back({key.first, {}});
+        updates.tallies.back().counts.push_back({key.second, entry.values});
     }
     for (const auto &[version, state] : m_halted)
-        if (isWanted(state))
-            news.haltedVersions.push_back(version);
+        if (isUnsent(state))
+            updates.haltedVersions.push_back(version);
     for (const auto &[fingerprint, state] : m_quarantined)
-        if (isWanted(state))
-            news.quarantined.push_back(fingerprint);
-    return news;
+        if (isUnsent(state))
+            updates.quarantined.push_back(fingerprint);
+    return updates;
 }
 
 std::map<count_key, count_values> shared_state::totals() const
@@ -169,38 +169,38 @@
 void delta_queue::add(const std::vector<shared_count> &counts)
 {
     for (const auto &count : counts)
-        addTo(m_waiting[count.key], count.values);
+        addTo(m_pending[count.key], count.values);
 }
 
 delta_queue::delta delta_queue::next(const std::function<bool(const shared_count &)> &isDue)
 {
-    if (m_sent.sequence != 0)
-        return m_sent;
-    auto due = toVector(m_waiting);
+    if (m_unconfirmed.sequence != 0)
+        return m_unconfirmed;
+    auto due = toVector(m_pending);
     std::erase_if(due, std::not_fn(isDue));
     if (due.empty())
         return {};
     for (const auto &count : due)
-        m_waiting.erase(count.key);
-    m_sent = {++m_sequence, std::move(due)};
-    return m_sent;
+        m_pending.erase(count.key);
+    m_unconfirmed = {++m_sequence, std::move(due)};
+    return m_unconfirmed;
 }
 
 void delta_queue::confirm(std::uint64_t sequence)
 {
-    if (m_sent.sequence != 0 && sequence >= m_sent.sequence)
-        m_sent = {};
+    if (m_unconfirmed.sequence != 0 && sequence >= m_unconfirmed.sequence)
+        m_unconfirmed = {};
 }
 
-void delta_queue::changeParent()
+void delta_queue::dropUnconfirmed()
 {
-    m_sent = {};
+    m_unconfirmed = {};
 }
 
 std::vector<shared_count> delta_queue::takeAll()
 {
-    auto all = toVector(m_waiting);
-    m_waiting.clear();
+    auto all = toVector(m_pending);
+    m_pending.clear();
     return all;
 }
 
--- a/src/relay_shared_p.h
+++ b/src/relay_shared_p.h
@@ -1,5 +1,6 @@
 // State that all hosts share through the relay tree: counts of evidence and estimates, halted versions, quarantined
-// fingerprints. Every part is merged so that a repeated or reordered message changes nothing. Pure: no I/O, no clock.
+// fingerprints. Merging is idempotent and commutative, so duplicated or reordered messages have no effect. No I/O, no
+// clock.
 #pragma once
 
 #include "evidence_p.h"
@@ -12,14 +13,14 @@
 namespace foxtaildyke
 {
 
-/// What counts are about: a version's evidence (empty kind), or the estimate of a kind and version.
+/// Subject of a count: the evidence of a version (empty kind), or the estimate for a kind and version.
 struct count_key {
     std::string kind;
     std::string version;
     auto operator<=>(const count_key &) const = default; // NOLINT(modernize-use-nullptr): a false positive
 };
 
-/// Counts of one key: passed, failed, dispatched, settled. An estimate uses the first two as met and missed.
+/// Counts for one key: passed, failed, dispatched, settled. An estimate uses the first two as met and missed.
 using count_values = std::array<std::uint64_t, 4>;
 
 struct shared_count {
@@ -28,7 +29,7 @@
     bool operator==(const shared_count &) const = default;
 };
 
-/// Identifies what one root process has summed up.
+/// Identifies the tally of one root process.
 using tally_id = std::uint32_t;
 
 struct shared_tally {
@@ -37,7 +38,7 @@
     bool operator==(const shared_tally &) const = default;
 };
 
-/// Part of the shared state that one side of a link sends to the other.
+/// Updates of the shared state that one side of a link sends to the other.
 struct shared_updates {
     std::vector<shared_tally> tallies;
     std::vector<std::string> haltedVersions;
@@ -45,10 +46,10 @@
     [[nodiscard]] bool isEmpty() const { return tallies.empty() && haltedVersions.empty() && quarantined.empty(); }
 };
 
-/// Position in the order of changes of one host's shared state.
+/// Sequence number of an update of one host's shared state.
 using update_sequence = std::uint64_t;
 
-/// Which link an item came over; it is not sent back over the same link.
+/// Identifies the link over which an item was received; the item is not sent back over it.
 using link_number = std::uint64_t;
 inline constexpr link_number kNoLink = 0;
 
@@ -57,30 +58,30 @@
 public:
     explicit shared_state(tally_id ownTally);
 
-    /// Limits how often a growing count is sent on: a tally is news again only after it grew by this fraction.
-    /// @param divisor 0 makes every growth news.
+    /// Limits how often a growing count is propagated: a tally is sent again only after it has grown by 1/divisor.
+    /// @param divisor 0 propagates every growth.
     void setDamping(std::uint32_t divisor) { m_dampingDivisor = divisor; }
 
-    /// Makes news of all growth that was held back.
-    void announceAll();
+    /// Propagates all growth that damping has held back.
+    void publishAll();
 
-    /// Adds to the counts of this host as root.
+    /// Adds counts to the tally that this host keeps as a root.
     void addToOwnTally(const std::vector<shared_count> &delta);
 
-    /// Takes what the other side of a link sent.
-    /// @returns whether a halt or a quarantine was new.
-    bool merge(const shared_updates &news, link_number link, instant now);
+    /// Merges the updates received over a link.
+    /// @returns whether they contained a new halt or quarantine.
+    bool merge(const shared_updates &updates, link_number link, instant now);
 
     bool halt(const std::string &version);
     bool addQuarantined(std::uint64_t fingerprint, instant now);
 
-    /// Forgets fingerprints that were learnt before a time.
+    /// Removes fingerprints that were received before the given time.
     void expireQuarantined(instant before);
 
-    /// @returns what changed after `seen` and did not come over `link`.
-    [[nodiscard]] shared_updates newsAfter(update_sequence seen, link_number link) const;
+    /// @returns the updates after `seen` that were not received over `link`.
+    [[nodiscard]] shared_updates updatesAfter(update_sequence seen, link_number link) const;
 
-    [[nodiscard]] update_sequence lastUpdate() const { return m_news; }
+    [[nodiscard]] update_sequence lastUpdate() const { return m_lastUpdate; }
 
     /// @returns the sums over all tallies.
     [[nodiscard]] std::map<count_key, count_values> totals() const;
@@ -92,28 +93,28 @@
     struct item {
         update_sequence changed = 0;
         link_number link = kNoLink;
-        instant learntAt{};
+        instant receivedAt{};
     };
     struct count_item {
         count_values values{};
-        count_values announced{}; ///< values at the last change that became news
+        count_values published{}; ///< values at the last propagated update
         item state;
     };
     using tally_key = std::pair<tally_id, count_key>;
 
-    void noteGrowth(count_item &entry, link_number link);
-    void dropOldestTally();
+    void recordGrowth(count_item &entry, link_number link);
+    void evictOldestTally();
 
     tally_id m_ownTally;
-    update_sequence m_news = 0; ///< raised by every change that is sent on
+    update_sequence m_lastUpdate = 0; ///< incremented by every change to propagate
     std::uint32_t m_dampingDivisor = 0;
     std::map<tally_key, count_item> m_counts;
     std::map<std::string, item> m_halted;
     std::map<std::uint64_t, item> m_quarantined;
 };
 
-/// Counts on their way to the root. Each is taken over by exactly one parent, or lost with a parent that died while it
-/// was unknown whether it had taken them; none is counted twice.
+/// Counts to send to the root. Each is applied by at most one parent: counts are lost, rather than counted twice, if
+/// the parent fails before it has confirmed them.
 class delta_queue
 {
 public:
@@ -124,27 +125,30 @@
 
     void add(const std::vector<shared_count> &counts);
 
-    /// @returns the counts to send to the parent: the unconfirmed ones again, or else those that wait and are due.
+    /// @returns the counts to send to the parent: the unconfirmed ones if there are any, else the pending ones that are
+    /// due.
     [[nodiscard]] delta next(const std::function<bool(const shared_count &)> &isDue);
 
-    /// The parent has taken everything up to this number.
+    /// Called when the parent has applied all deltas up to this sequence number.
     void confirm(std::uint64_t sequence);
 
-    /// The parent is gone or has restarted. Counts that were sent to it and not confirmed are dropped.
-    void changeParent();
+    /// Drops the counts that were sent but not confirmed, because the parent is gone or has restarted and may have
+    /// applied them.
+    void dropUnconfirmed();
 
-    /// @returns all that waits, for the host's own tally.
+    /// Removes all pending counts, for the host's own tally.
+    /// @returns the removed counts.
     [[nodiscard]] std::vector<shared_count> takeAll();
 
-    [[nodiscard]] bool hasUnconfirmed() const { return m_sent.sequence != 0; }
+    [[nodiscard]] bool hasUnconfirmed() const { return m_unconfirmed.sequence != 0; }
 
 private:
-    std::map<count_key, count_values> m_waiting;
-    delta m_sent; ///< sequence 0: none unconfirmed
+    std::map<count_key, count_values> m_pending;
+    delta m_unconfirmed; ///< sequence 0: there are none
     std::uint64_t m_sequence = 0;
 };
 
-/// Evidence of a version as shared counts, and back.
+/// Conversion between the evidence of a version and its shared counts.
 [[nodiscard]] shared_count toSharedCount(const version_evidence &evidence);
 [[nodiscard]] version_evidence toEvidence(const count_key &key, const count_values &values);
 
--- a/tests/relay_bus.cpp
+++ b/tests/relay_bus.cpp
@@ -11,17 +11,17 @@
 
 constexpr std::chrono::milliseconds kLease{4000};
 constexpr std::chrono::milliseconds kStoreReadPeriod{250};
-constexpr std::chrono::milliseconds kStarvingReadPeriod{1000};
-constexpr std::chrono::milliseconds kMaxWake{50};
+constexpr std::chrono::milliseconds kFallbackReadPeriod{1000};
+constexpr std::chrono::milliseconds kMaxTimerDelay{50};
 
-/// A change is a few keys; its text has about this size. The fleet's own documents are not needed here.
+/// Approximate size of a change, which sets a few keys. Real fleet documents are not needed here.
 constexpr std::size_t kChangeBytes = 200;
 constexpr std::size_t kDocumentBytes = 40000;
 
-/// Changes that a host keeps for its children; as config_document::kHistoryLength.
-constexpr generation_number kHistory = 64;
+/// Number of changes that a host retains for its children; equals config_document::kHistoryLength.
+constexpr generation_number kRetainedChanges = 64;
 
-std::string numbered(generation_number generation, std::size_t bytes)
+std::string makePayload(generation_number generation, std::size_t bytes)
 {
     auto text = std::to_string(generation) + " ";
     text.resize(std::max(text.size(), bytes), '.');
@@ -36,8 +36,8 @@
     std::unique_ptr<relay> tree;
     instant nextStoreRead{};
     instant nextWake{};
-    std::map<response_token, std::function<void(const exchange_response &)>> answers;
-    std::uint64_t lastAnswer = 0;
+    std::map<response_token, std::function<void(const exchange_response &)>> pendingResponses;
+    std::uint64_t lastResponseToken = 0;
     std::set<std::size_t> askedToRecover;
 };
 
@@ -63,7 +63,7 @@
 
 relay_bus::~relay_bus() = default;
 
-void relay_bus::at(instant when, std::function<void()> action)
+void relay_bus::schedule(instant when, std::function<void()> action)
 {
     m_events.emplace(event_key{when, ++m_eventNumber}, std::move(action));
 }
@@ -91,7 +91,7 @@
 
 instant relay_bus::clockOf(std::size_t host) const
 {
-    // Clocks differ: each counts from the start of its process, from a different value.
+    // Clocks differ between hosts: each starts with its process at a different value.
     return m_now - m_hosts[host]->startedAt + std::chrono::seconds(100 * (host + 1));
 }
 
@@ -107,16 +107,16 @@
     };
     hooks.configAfter = [&state](generation_number have) {
         config_content config;
-        const auto held = state.fresh.generation();
-        if (have == 0 || have + kHistory < held)
-            config.document = numbered(held, kDocumentBytes);
+        const auto adopted = state.fresh.generation();
+        if (have == 0 || have + kRetainedChanges < adopted)
+            config.document = makePayload(adopted, kDocumentBytes);
         else
-            for (auto g = have + 1; g <= held; ++g)
-                config.changes.push_back(numbered(g, kChangeBytes));
+            for (auto g = have + 1; g <= adopted; ++g)
+                config.changes.push_back(makePayload(g, kChangeBytes));
         return config;
     };
     state.tree = std::make_unique<relay>(m_names[host], m_random(), state.fresh, std::move(hooks), m_fanOut);
-    wake(host);
+    runTimer(host);
 }
 
 void relay_bus::kill(std::size_t host)
@@ -132,43 +132,43 @@
         state.tree->setMembers({m_names, m_period, std::chrono::seconds(600)}, clockOf(host));
 }
 
-bool relay_bus::canTalk(std::size_t from, std::size_t to) const
+bool relay_bus::canReach(std::size_t from, std::size_t to) const
 {
-    return m_hosts[from] && m_hosts[to] && m_cutOff.contains(from) == m_cutOff.contains(to);
+    return m_hosts[from] && m_hosts[to] && m_isolated.contains(from) == m_isolated.contains(to);
 }
 
-void relay_bus::wake(std::size_t host)
+void relay_bus::runTimer(std::size_t host)
 {
     auto &state = *m_hosts[host];
     const auto clock = clockOf(host);
     const bool lacksFreshStamp = state.tree->lacksFreshStamp(clock);
     if (clock >= state.nextStoreRead && (state.tree->isRoot() || state.fresh.isRecovering() || lacksFreshStamp)) {
-        state.nextStoreRead = clock + (state.tree->isRoot() ? kStoreReadPeriod : kStarvingReadPeriod);
+        state.nextStoreRead = clock + (state.tree->isRoot() ? kStoreReadPeriod : kFallbackReadPeriod);
         readStore(host);
     }
     state.tree->tick(clock);
     dispatchActions(host);
     const auto incarnation = m_incarnations[host];
-    const auto next = std::min<instant>(std::max(state.tree->nextTimer() - clock, instant(1000)), kMaxWake);
-    at(m_now + next, [this, host, incarnation] {
+    const auto next = std::min<instant>(std::max(state.tree->nextTimer() - clock, instant(1000)), kMaxTimerDelay);
+    schedule(m_now + next, [this, host, incarnation] {
         if (m_hosts[host] && m_incarnations[host] == incarnation)
-            wake(host);
+            runTimer(host);
     });
 }
 
 void relay_bus::readStore(std::size_t host)
 {
     ++m_storeReads;
-    if (!m_storeUp || m_cutOff.contains(host))
+    if (!m_storeUp || m_isolated.contains(host))
         return;
     const auto incarnation = m_incarnations[host];
     const auto started = clockOf(host);
-    at(m_now + latency(), [this, host, incarnation, started, generation = m_generation] {
+    schedule(m_now + latency(), [this, host, incarnation, started, generation = m_generation] {
         if (!m_hosts[host] || m_incarnations[host] != incarnation)
             return;
         m_hosts[host]->fresh.stamp({generation, started});
-        adopt(host, {{}, numbered(generation, 0)});
-        m_hosts[host]->fresh.recordStoreRead(generation, started);
+        adopt(host, {{}, makePayload(generation, 0)});
+        m_hosts[host]->fresh.storeRead(generation, started);
         m_hosts[host]->tree->tick(clockOf(host));
         dispatchActions(host);
     });
@@ -182,12 +182,12 @@
             sendCall(host, *call);
             continue;
         }
-        const auto &answer = std::get<respond_to_exchange>(action);
-        const auto found = state.answers.find(answer.call);
-        if (found == state.answers.end())
+        const auto &completed = std::get<respond_to_exchange>(action);
+        const auto found = state.pendingResponses.find(completed.call);
+        if (found == state.pendingResponses.end())
             continue;
-        found->second(answer.response);
-        state.answers.erase(found);
+        found->second(completed.response);
+        state.pendingResponses.erase(found);
     }
 }
 
@@ -199,37 +199,38 @@
     m_counts[host].bytes += bytes.size();
     const auto incarnation = m_incarnations[host];
     const auto call = action.call;
-    // The deadline; a later answer finds no call.
-    at(m_now + action.timeout, [this, host, incarnation, call] {
+    // Deadline of the call; a response after it is ignored.
+    schedule(m_now + action.timeout, [this, host, incarnation, call] {
         finishCall(host, incarnation, call, error{error_code::timed_out, "peer"});
     });
-    if (!canTalk(host, to)) {
-        // A killed process refuses the connection; a cut network lets the call time out.
+    if (!canReach(host, to)) {
+        // A killed process refuses the connection; a partitioned network lets the call time out.
         if (!m_hosts[to])
-            at(m_now + latency(), [this, host, incarnation, call] {
+            schedule(m_now + latency(), [this, host, incarnation, call] {
                 finishCall(host, incarnation, call, error{error_code::unavailable, "peer"});
             });
         return;
     }
-    at(m_now + latency(),
-       [this, host, to, incarnation, call, text = std::move(bytes)] { arrive(host, to, incarnation, call, text); });
+    schedule(m_now + latency(), [this, host, to, incarnation, call, text = std::move(bytes)] {
+        deliverCall(host, to, incarnation, call, text);
+    });
 }
 
-void relay_bus::arrive(std::size_t from, std::size_t to, std::uint32_t incarnation, call_token call,
-                       const std::string &bytes)
+void relay_bus::deliverCall(std::size_t from, std::size_t to, std::uint32_t incarnation, call_token call,
+                            const std::string &bytes)
 {
     if (!m_hosts[to])
         return;
     m_counts[to].bytes += bytes.size();
     auto &state = *m_hosts[to];
-    const response_token token{++state.lastAnswer};
-    state.answers[token] = [this, from, to, incarnation, call](const exchange_response &reply) {
-        auto text = toWire(reply).SerializeAsString();
+    const response_token token{++state.lastResponseToken};
+    state.pendingResponses[token] = [this, from, to, incarnation, call](const exchange_response &response) {
+        auto text = toWire(response).SerializeAsString();
         ++m_counts[to].messages;
         m_counts[to].bytes += text.size();
-        if (!canTalk(to, from))
+        if (!canReach(to, from))
             return;
-        at(m_now + latency(), [this, from, incarnation, call, text = std::move(text)] {
+        schedule(m_now + latency(), [this, from, incarnation, call, text = std::move(text)] {
             m_counts[from].bytes += text.size();
             exchange_reply wire;
             wire.ParseFromString(text);
@@ -243,11 +244,11 @@
 }
 
 void relay_bus::finishCall(std::size_t host, std::uint32_t incarnation, call_token call,
-                           const result<exchange_response> &reply)
+                           const result<exchange_response> &response)
 {
     if (!m_hosts[host] || m_incarnations[host] != incarnation)
         return;
-    m_hosts[host]->tree->handleResponse(call, reply, clockOf(host));
+    m_hosts[host]->tree->handleResponse(call, response, clockOf(host));
     dispatchActions(host);
 }
 
@@ -256,7 +257,7 @@
     return *m_hosts[host]->tree;
 }
 
-const freshness &relay_bus::freshOf(std::size_t host) const
+const freshness &relay_bus::freshnessOf(std::size_t host) const
 {
     return m_hosts[host]->fresh;
 }
--- a/tests/relay_bus.h
+++ b/tests/relay_bus.h
@@ -1,5 +1,5 @@
-// Relay instances of a whole fleet in one process over an in-memory message bus with virtual time, and a store. Counts
-// messages and their protobuf sizes.
+// Simulates the relay instances of a whole fleet and a store in one process, with an in-memory message bus and virtual
+// time. Counts messages and their protobuf sizes.
 #pragma once
 
 #include "relay_p.h"
@@ -31,14 +31,14 @@
     void publish();
 
     void setStoreUp(bool isUp) { m_storeUp = isUp; }
-    /// Loses all messages between the hosts of the set and the others, and between the set and the store.
-    void cutOff(std::set<std::size_t> hosts) { m_cutOff = std::move(hosts); }
+    /// Drops all messages between the hosts of the set and the others, and between the set and the store.
+    void isolate(std::set<std::size_t> hosts) { m_isolated = std::move(hosts); }
     void kill(std::size_t host);
     void start(std::size_t host);
     [[nodiscard]] bool isRunning(std::size_t host) const { return m_hosts[host] != nullptr; }
 
     [[nodiscard]] relay &relayOf(std::size_t host);
-    [[nodiscard]] const freshness &freshOf(std::size_t host) const;
+    [[nodiscard]] const freshness &freshnessOf(std::size_t host) const;
     [[nodiscard]] bool mayDispatch(std::size_t host) const;
     [[nodiscard]] std::size_t count() const { return m_hosts.size(); }
     [[nodiscard]] instant now() const { return m_now; }
@@ -57,16 +57,17 @@
     struct host_state;
     using event_key = std::pair<instant, std::uint64_t>;
 
-    void at(instant when, std::function<void()> action);
+    void schedule(instant when, std::function<void()> action);
     void dispatchActions(std::size_t host);
     void sendCall(std::size_t host, const start_exchange &action);
-    void arrive(std::size_t from, std::size_t to, std::uint32_t incarnation, call_token call, const std::string &bytes);
+    void deliverCall(std::size_t from, std::size_t to, std::uint32_t incarnation, call_token call,
+                     const std::string &bytes);
     void finishCall(std::size_t host, std::uint32_t incarnation, call_token call,
-                    const result<exchange_response> &reply);
+                    const result<exchange_response> &response);
     void readStore(std::size_t host);
-    void wake(std::size_t host);
+    void runTimer(std::size_t host);
     void adopt(std::size_t host, const config_content &config);
-    [[nodiscard]] bool canTalk(std::size_t from, std::size_t to) const;
+    [[nodiscard]] bool canReach(std::size_t from, std::size_t to) const;
     [[nodiscard]] instant latency();
 
     std::chrono::milliseconds m_period;
@@ -81,7 +82,7 @@
     instant m_now{};
     generation_number m_generation = 1;
     bool m_storeUp = true;
-    std::set<std::size_t> m_cutOff;
+    std::set<std::size_t> m_isolated;
     std::uint64_t m_storeReads = 0;
 };
 
--- a/tests/test_relay.cpp
+++ b/tests/test_relay.cpp
@@ -1,4 +1,4 @@
-// Relay tree with several instances over an in-memory bus with virtual time; see relay_bus.h.
+// Relay tree with several instances over a simulated network with virtual time; see relay_bus.h.
 #include "relay_bus.h"
 
 #include <doctest/doctest.h>
@@ -12,9 +12,9 @@
 
 constexpr auto kPeriod = 500ms;
 
-/// Runs until a generation is everywhere.
+/// Runs until all hosts have adopted the published generation.
 /// @returns the time it took, or nothing after 20 s.
-std::optional<instant> spread(relay_bus &bus)
+std::optional<instant> runUntilAdopted(relay_bus &bus)
 {
     const auto start = bus.now();
     while (bus.now() - start < 20s) {
@@ -25,35 +25,35 @@
     return std::nullopt;
 }
 
-shared_count passedOf(std::uint64_t passed)
+shared_count passedCount(std::uint64_t passed)
 {
     return {{{}, "v1"}, {passed, 0, 0, 0}};
 }
 
-std::uint64_t totalOf(relay_bus &bus, std::size_t host)
+std::uint64_t passedTotal(relay_bus &bus, std::size_t host)
 {
     const auto totals = bus.relayOf(host).shared().totals();
     const auto found = totals.find({{}, "v1"});
     return found == totals.end() ? 0 : found->second[0];
 }
 
-/// Adds 10 passed answers at each running host.
+/// Adds 10 passed responses at each running host.
 void addEverywhere(relay_bus &bus)
 {
     for (std::size_t i = 0; i < bus.count(); ++i)
         if (bus.isRunning(i))
-            bus.relayOf(i).addEvidence({passedOf(10)});
+            bus.relayOf(i).addEvidence({passedCount(10)});
 }
 
 } // namespace
 
-TEST_CASE("relay: a host tries its ancestors first, then members lower by powers of two, then the nearest")
+TEST_CASE("relay: a host probes its ancestors first, then members lower by powers of two, then the nearest")
 {
     CHECK(parentCandidates(0, 8).order.empty());
     CHECK(parentCandidates(5, 8).order == std::vector<std::size_t>{0, 1, 3, 4, 2});
     const auto list = parentCandidates(20, 8);
     CHECK(list.order.size() == 20);
-    CHECK(list.firstRound == 7);
+    CHECK(list.firstRoundSize == 7);
     CHECK(std::vector(list.order.begin(), list.order.begin() + 8)
           == std::vector<std::size_t>{2, 0, 4, 12, 16, 18, 19, 17});
 }
@@ -65,7 +65,7 @@
     CHECK(bus.roots() == std::vector<std::size_t>{0});
     CHECK(bus.dispatchers() == 9);
     bus.publish();
-    const auto time = spread(bus);
+    const auto time = runUntilAdopted(bus);
     REQUIRE(time.has_value());
     MESSAGE("9 hosts: change to all in ", time->count() / 1000, " ms of virtual time");
     CHECK(*time < 1s);
@@ -89,24 +89,24 @@
     }
 }
 
-TEST_CASE("relay: during a store outage a majority goes on by vouches and a cut-off minority stops")
+TEST_CASE("relay: during a store outage a majority continues on acknowledgements and a partitioned minority stops")
 {
     relay_bus bus(9, kPeriod, 8);
     bus.run(5s);
     bus.setStoreUp(false);
     bus.run(20s);
     CHECK(bus.dispatchers() == 9);
-    bus.cutOff({0, 1, 2});
+    bus.isolate({0, 1, 2});
     bus.run(20s);
     for (std::size_t i = 0; i < 9; ++i)
         CHECK(bus.mayDispatch(i) == (i > 2));
-    bus.cutOff({});
+    bus.isolate({});
     bus.run(20s);
     CHECK(bus.dispatchers() == 9);
     CHECK(bus.roots() == std::vector<std::size_t>{0});
 }
 
-TEST_CASE("relay: the children of a killed host find another parent before their leases end")
+TEST_CASE("relay: the children of a killed host move to another parent before their leases end")
 {
     relay_bus bus(30, kPeriod, 3);
     bus.run(8s);
@@ -123,7 +123,7 @@
     }
 }
 
-TEST_CASE("relay: a host that returns brings no older generation and gets its children back")
+TEST_CASE("relay: a restarted host spreads no older generation and regains its children")
 {
     relay_bus bus(30, kPeriod, 3);
     bus.run(8s);
@@ -138,24 +138,24 @@
     CHECK(bus.dispatchers() == 30);
 }
 
-TEST_CASE("relay: a change known to one side reaches the other through a child while the store is down")
+TEST_CASE("relay: after a partition a change reaches the other side through a child while the store is down")
 {
     relay_bus bus(9, kPeriod, 8);
     bus.run(5s);
-    // Hosts 0 to 2 miss the change; later the root has to take it from a child.
-    bus.cutOff({0, 1, 2});
+    // Hosts 0 to 2 miss the change, so the root has to adopt it from a child later.
+    bus.isolate({0, 1, 2});
     bus.run(4s);
     bus.publish();
     bus.run(6s);
     REQUIRE(bus.holders(2) == 6);
     bus.setStoreUp(false);
-    bus.cutOff({});
+    bus.isolate({});
     bus.run(20s);
     CHECK(bus.holders(2) == 9);
     CHECK(bus.dispatchers() == 9);
 }
 
-TEST_CASE("relay: a part that is cut off from all its ancestors has one root and goes on if it is a majority")
+TEST_CASE("relay: a partition without any of its ancestors has one root and continues if it is a majority")
 {
     relay_bus bus(60, kPeriod, 8);
     bus.run(8s);
@@ -163,7 +163,7 @@
     std::set<std::size_t> lower;
     for (std::size_t i = 0; i < 25; ++i)
         lower.insert(i);
-    bus.cutOff(lower);
+    bus.isolate(lower);
     bus.run(20s);
     CHECK(bus.roots() == std::vector<std::size_t>{0, 25});
     CHECK(bus.dispatchers() == 35);
@@ -176,26 +176,26 @@
     addEverywhere(bus);
     bus.run(80s);
     for (std::size_t i = 0; i < bus.count(); ++i) {
-        CHECK(totalOf(bus, i) == 300);
+        CHECK(passedTotal(bus, i) == 300);
         CHECK(bus.relayOf(i).countsOfOthers().at({{}, "v1"})[0] == 290);
     }
 }
 
-TEST_CASE("relay: evidence is counted once when a second call repeats what the waiting call carries")
+TEST_CASE("relay: evidence is counted once when a second call contains the delta of the waiting call")
 {
     relay_bus bus(9, kPeriod, 8);
     bus.run(5s);
     addEverywhere(bus);
-    // In this time every host has sent a call with its counts; the news makes each send another one.
+    // By then every host has sent a call with its counts; the halt makes each one send a second call.
     bus.run(kPeriod + 20ms);
     for (std::size_t i = 1; i < bus.count(); ++i)
         bus.relayOf(i).halt("v" + std::to_string(i), bus.clockOf(i));
     bus.run(20s);
     for (std::size_t i = 0; i < bus.count(); ++i)
-        CHECK(totalOf(bus, i) == 90);
+        CHECK(passedTotal(bus, i) == 90);
 }
 
-TEST_CASE("relay: evidence is not counted twice when parents and roots disappear and return")
+TEST_CASE("relay: evidence is not counted twice when parents and roots fail and restart")
 {
     for (std::uint32_t seed = 1; seed <= 10; ++seed) {
         relay_bus bus(30, kPeriod, 3, seed);
@@ -209,22 +209,22 @@
             else if (random() % 2 == 0)
                 bus.kill(victim);
             else
-                bus.cutOff(random() % 2 == 0 ? std::set<std::size_t>{victim, victim + 1, victim + 5}
-                                             : std::set<std::size_t>{});
+                bus.isolate(random() % 2 == 0 ? std::set<std::size_t>{victim, victim + 1, victim + 5}
+                                              : std::set<std::size_t>{});
             addEverywhere(bus);
             for (std::size_t i = 0; i < bus.count(); ++i)
                 added += bus.isRunning(i) ? 10 : 0;
             bus.run(instant(std::chrono::milliseconds(random() % 1500)));
         }
-        bus.cutOff({});
+        bus.isolate({});
         bus.run(200s);
         for (std::size_t i = 0; i < bus.count(); ++i) {
             if (!bus.isRunning(i))
                 continue;
-            CHECK(totalOf(bus, i) <= added);
-            // Lost is only what was on its way through a host that died.
-            CHECK(totalOf(bus, i) > added / 2);
-            CHECK(totalOf(bus, i) == totalOf(bus, 29));
+            CHECK(passedTotal(bus, i) <= added);
+            // Only counts that a killed host had not forwarded are lost.
+            CHECK(passedTotal(bus, i) > added / 2);
+            CHECK(passedTotal(bus, i) == passedTotal(bus, 29));
         }
     }
 }
@@ -242,7 +242,7 @@
     }
 }
 
-TEST_CASE("relay: limit shares follow demand, add up to one, and leave something to hosts without demand")
+TEST_CASE("relay: limit shares follow demand, add up to one, and reserve a part for hosts without demand")
 {
     relay_bus bus(9, kPeriod, 8);
     bus.run(5s);
@@ -264,7 +264,7 @@
     CHECK(bus.roots() == std::vector<std::size_t>{0});
     CHECK(bus.dispatchers() == 350);
     bus.publish();
-    const auto time = spread(bus);
+    const auto time = runUntilAdopted(bus);
     REQUIRE(time.has_value());
     MESSAGE("350 hosts: change to all in ", time->count() / 1000, " ms of virtual time");
     CHECK(*time < 8s);
