--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -82,7 +82,7 @@
     if (self != hosts.end())
         m_selfIndex = static_cast<std::size_t>(self - hosts.begin());
     m_shared.setDamping(hosts.size() > kMaxUndampedHosts ? kDampingDivisor : 0);
-    m_acknowledgedAt.assign(hosts.size(), kNoVouch);
+    m_acknowledgedAt.assign(hosts.size(), kNotAcknowledged);
     m_acknowledged.assign(hosts.size(), false);
     ++m_acknowledgedRevision;
     m_isSubtreeReportDue = true;
@@ -253,9 +253,9 @@
         group.lag = std::max(group.lag, lag);
     };
     for (std::size_t i = 0; i < m_acknowledgedAt.size(); ++i)
-        if (m_fresh.isAcknowledged(m_acknowledgedAt[i], now))
+        if (m_fresh.isAcknowledgementValid(m_acknowledgedAt[i], now))
             add(i, m_acknowledgedAt[i]);
-    if (m_selfIndex && m_fresh.mayVouch())
+    if (m_selfIndex && m_fresh.mayAcknowledge())
         add(*m_selfIndex, now);
     std::vector<acknowledgement_set> groups;
     for (auto *group : {&recent, &old})
--- a/src/relay_children.cpp
+++ b/src/relay_children.cpp
@@ -136,7 +136,7 @@
     std::erase_if(m_children, [&](const auto &pair) {
         return !pair.second.waitingCall && now - pair.second.lastCallAt > kChildExpiryPeriods * period();
     });
-    bool isComplete = m_isSubtreeReportDue && m_fresh.mayVouch();
+    bool isComplete = m_isSubtreeReportDue && m_fresh.mayAcknowledge();
     for (auto &[name, from] : m_children) {
         isComplete = isComplete && from.generation == m_fresh.generation();
         if (from.waitingCall && (needsEarlyResponse(from) || now >= from.waitingSince + period()))
@@ -170,7 +170,7 @@
         return;
     m_shared.addToOwnTally(m_deltas.takeAll());
     m_demandTotals = subtreeDemand();
-    if (m_selfIndex && m_fresh.mayVouch())
+    if (m_selfIndex && m_fresh.mayAcknowledge())
         m_acknowledgedAt[*m_selfIndex] = now;
     if (const auto stamp = m_fresh.quorumStamp(m_acknowledgedAt))
         m_fresh.stamp(*stamp);
@@ -182,7 +182,7 @@
     const auto before = acknowledgedCount();
     host_bits bits(m_acknowledgedAt.size());
     for (std::size_t i = 0; i < bits.size(); ++i)
-        bits[i] = m_fresh.isAcknowledged(m_acknowledgedAt[i], now);
+        bits[i] = m_fresh.isAcknowledgementValid(m_acknowledgedAt[i], now);
     if (bits == m_acknowledged)
         return;
     m_acknowledged = std::move(bits);
--- a/tests/relay_bus.cpp
+++ b/tests/relay_bus.cpp
@@ -168,7 +168,7 @@
             return;
         m_hosts[host]->fresh.stamp({generation, started});
         adopt(host, {{}, makePayload(generation, 0)});
-        m_hosts[host]->fresh.storeRead(generation, started);
+        m_hosts[host]->fresh.recordStoreRead(generation, started);
         m_hosts[host]->tree->tick(clockOf(host));
         dispatchActions(host);
     });
