--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -9,12 +9,12 @@
 namespace
 {
 
-constexpr double kEvenPart = 0.1; ///< of a limit that hosts get without demand
-constexpr double kMostWaitSeconds = 60; ///< longest Retry-After
-constexpr std::chrono::milliseconds kBusyRetry{500}; ///< Retry-After at the concurrency limit
-constexpr double kServiceWeight = 0.1; ///< of the newest service time in the moving mean
-constexpr double kUnspentAttemptsMost = 100; ///< ten retries in a burst at a budget of 10 in 100
-constexpr double kUnspentAttemptsFirst = 10; ///< a host that has just started may retry once at 10 in 100
+constexpr double kEvenShare = 0.1; ///< part of a limit that is divided evenly, whatever the demand
+constexpr double kMaxRetryAfterSeconds = 60; ///< upper limit of Retry-After
+constexpr std::chrono::milliseconds kConcurrencyRetryAfter{500}; ///< Retry-After at the concurrency limit
+constexpr double kServiceTimeWeight = 0.1; ///< weight of the newest service time in the moving mean
+constexpr double kMaxUnspentAttempts = 100; ///< allows a burst of ten retries at a budget of 10%
+constexpr double kInitialUnspentAttempts = 10; ///< allows a host that has just started one retry at a budget of 10%
 
 } // namespace
 
@@ -23,29 +23,30 @@
     const auto even = 1.0 / static_cast<double>(std::max<std::size_t>(1, hosts));
     if (total <= 0)
         return even;
-    return kEvenPart * even + (1 - kEvenPart) * std::clamp(own / total, 0.0, 1.0);
+    return kEvenShare * even + (1 - kEvenShare) * std::clamp(own / total, 0.0, 1.0);
 }
 
 admission::admission(std::uint64_t seed)
-    : m_unspentAttempts(kUnspentAttemptsFirst)
+    : m_unspentAttempts(kInitialUnspentAttempts)
     , m_random(seed)
 {
 }
 
 std::chrono::milliseconds admission::addJitter(std::chrono::milliseconds estimate)
 {
-    const auto most = std::max<std::int64_t>(estimate.count() / 2, 10);
-    return estimate + std::chrono::milliseconds{std::uniform_int_distribution<std::int64_t>(0, most)(m_random)};
+    const auto maximum = std::max<std::int64_t>(estimate.count() / 2, 10);
+    return estimate + std::chrono::milliseconds{std::uniform_int_distribution<std::int64_t>(0, maximum)(m_random)};
 }
 
-std::chrono::milliseconds admission::promise(account_state &state, double waitSeconds, double rate, instant now)
+std::chrono::milliseconds admission::reserveRetryTime(account_state &state, double waitSeconds, double rate,
+                                                      instant now)
 {
-    // Each refused caller is told the time of the next free token that no earlier one was told.
+    // Each refused caller gets the time of the next free token that was not yet given to an earlier one.
     const auto free = now + std::chrono::microseconds{static_cast<std::int64_t>(waitSeconds * 1e6)};
-    const auto next = state.promisedAt + std::chrono::microseconds{static_cast<std::int64_t>(1e6 / rate)};
-    const auto most = now + std::chrono::microseconds{static_cast<std::int64_t>(kMostWaitSeconds * 1e6)};
-    state.promisedAt = std::min(std::max(free, next), most);
-    const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(state.promisedAt - now);
+    const auto next = state.lastRetryAt + std::chrono::microseconds{static_cast<std::int64_t>(1e6 / rate)};
+    const auto maximum = now + std::chrono::microseconds{static_cast<std::int64_t>(kMaxRetryAfterSeconds * 1e6)};
+    state.lastRetryAt = std::min(std::max(free, next), maximum);
+    const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(state.lastRetryAt - now);
     return wait + std::chrono::milliseconds{std::uniform_int_distribution<std::int64_t>(1, 100)(m_random)};
 }
 
@@ -55,15 +56,15 @@
     auto &state = m_accounts[limits.name];
     ++state.arrivals;
     const auto share = state.share < 0 ? limitShare(0, 0, config.hosts.size()) : state.share;
-    const auto rate = std::max(limits.requestsPerSecond * share, 1 / kMostWaitSeconds);
+    const auto rate = std::max(limits.requestsPerSecond * share, 1 / kMaxRetryAfterSeconds);
     const auto burst = std::max(1.0, limits.burst * share);
     const auto elapsed = std::chrono::duration<double>(now - state.refilledAt).count();
     state.tokens = state.tokens < 0 ? burst : std::min(burst, state.tokens + elapsed * rate);
     state.refilledAt = now;
     if (state.inFlight >= std::max(1.0, limits.concurrency * share))
-        return {reason_code::rate_limited, addJitter(kBusyRetry)};
+        return {reason_code::rate_limited, spread(kConcurrencyRetryAfter)};
     if (state.tokens < 1)
-        return {reason_code::rate_limited, promise(state, (1 - state.tokens) / rate, rate, now)};
+        return {reason_code::rate_limited, reserveRetryTime(state, (1 - state.tokens) / rate, rate, now)};
     state.tokens -= 1;
     ++state.inFlight;
     return {};
@@ -96,8 +97,8 @@
     const auto index = static_cast<std::size_t>(priority);
     const auto found = m_accounts.find(account);
     const auto last = found == m_accounts.end() ? 0.0 : found->second.finishTag[index];
-    // The maximum takes an idle account to the present, so that it has no credit for the time it was idle.
-    return std::max(last, m_virtualNow[index]);
+    // The maximum moves an idle account to the current virtual time, so that it gains no credit while it is idle.
+    return std::max(last, m_virtualTime[index]);
 }
 
 void admission::enqueue(request_token request, std::string_view account, std::uint32_t weight, request_class priority,
@@ -119,10 +120,10 @@
     const auto key = found->second.key;
     m_queued.erase(found);
     m_order.erase(key);
-    // A cancelled request from the back must not move the virtual time past those that still wait.
+    // Cancelling a request at the back of the queue must not move the virtual time past requests that still wait.
     const auto head = m_order.lower_bound(queue_key{key.priority, 0, 0, {}});
     const bool classWaits = head != m_order.end() && head->priority == key.priority;
-    auto &now = m_virtualNow[static_cast<std::size_t>(key.priority)];
+    auto &now = m_virtualTime[static_cast<std::size_t>(key.priority)];
     now = std::max(now, classWaits ? std::min(key.startTag, head->startTag) : key.startTag);
     return true;
 }
@@ -150,7 +151,7 @@
     if (state.inFlight > 0)
         --state.inFlight;
     const auto newest = static_cast<double>(std::max<std::int64_t>(1, serviceTime.count()));
-    state.serviceMs = state.serviceMs > 0 ? state.serviceMs + kServiceWeight * (newest - state.serviceMs) : newest;
+    state.serviceMs = state.serviceMs > 0 ? state.serviceMs + kServiceTimeWeight * (newest - state.serviceMs) : newest;
 }
 
 std::chrono::milliseconds admission::estimateQueueWait(std::string_view account, request_class priority,
@@ -165,8 +166,9 @@
         if (m_queued.at(static_cast<std::uint64_t>(key.request)).pool == pool)
             ahead[static_cast<std::size_t>(key.priority)] += 1;
     });
-    // While requests of a class wait, those in flight hold this host's part of the pool for the class, however many
-    // hosts and classes share it. The classes differ too much in length for one mean: a draft runs 20 lookups long.
+    // While requests of a class wait, the number in flight is this host's share of the pool for that class, however
+    // many hosts and classes use the pool. Service times differ too much between classes for a common mean: a draft
+    // takes as long as 20 lookups.
     double wait = 0;
     for (std::size_t index = 0; index < kClasses; ++index) {
         const auto &state = found->second[index];
@@ -177,17 +179,17 @@
 
 void admission::recordFirstAttempt()
 {
-    m_unspentAttempts = std::min(kUnspentAttemptsMost, m_unspentAttempts + 1);
+    m_unspentAttempts = std::min(kMaxUnspentAttempts, m_unspentAttempts + 1);
 }
 
 bool admission::tryConsumeRetry(const tuning &tune)
 {
     if (tune.retryBudgetPercent == 0)
         return false;
-    const auto price = 100.0 / tune.retryBudgetPercent;
-    if (m_unspentAttempts < price)
+    const auto cost = 100.0 / tune.retryBudgetPercent;
+    if (m_unspentAttempts < cost)
         return false;
-    m_unspentAttempts -= price;
+    m_unspentAttempts -= cost;
     return true;
 }
 
--- a/src/attempt_rules.cpp
+++ b/src/attempt_rules.cpp
@@ -1,4 +1,4 @@
-// Rules for the end of an attempt; see attempt_rules_p.h.
+// Decisions at the end of an attempt; see attempt_rules_p.h.
 #include "attempt_rules_p.h"
 
 namespace foxtaildyke
@@ -7,25 +7,25 @@
 namespace
 {
 
-bool canTryAgain(const attempt_outcome &facts)
+bool canRetry(const attempt_facts &outcome)
 {
-    const bool isAllowed = facts.mayRetry || !facts.mayHaveRun;
-    return isAllowed && facts.sends < facts.maxSends && facts.left >= kMinRetryTime;
+    const bool isAllowed = outcome.mayRepeat || !outcome.mayHaveRun;
+    return isAllowed && outcome.sends < outcome.maxSends && outcome.left >= kLeastTimeForRepeat;
 }
 
 } // namespace
 
-next_step nextStepAfter(const attempt_outcome &facts)
+next_step stepAfter(const attempt_facts &outcome)
 {
-    if (facts.result == attempt_result::answered)
+    if (outcome.result == attempt_result::answered)
         return next_step::pass_on;
-    if (canTryAgain(facts))
-        return next_step::retry;
-    if (facts.hasCallerBytes)
+    if (canRetry(outcome))
+        return next_step::try_again;
+    if (outcome.hasCallerBytes)
         return next_step::cut_off;
-    if (facts.result == attempt_result::server_error)
+    if (outcome.result == attempt_result::server_error)
         return next_step::pass_on;
-    return facts.mayHaveRun ? next_step::fail : next_step::refuse;
+    return outcome.mayHaveRun ? next_step::fail : next_step::refuse;
 }
 
 } // namespace foxtaildyke
--- a/src/attempt_rules_p.h
+++ b/src/attempt_rules_p.h
@@ -1,5 +1,5 @@
-// What follows the end of an attempt: pure rules by what may be repeated, what the replica stated, and what the caller
-// has received. Load answered: replicas that refuse, fail, break off or fall silent.
+// Decides what follows the end of an attempt from what may be retried, what the replica stated, and what the caller has
+// received. Does no I/O. Addresses replicas that refuse requests, fail, break off a response or stop responding.
 #pragma once
 
 #include "gateway_model_p.h"
@@ -9,13 +9,13 @@
 
 /// How an attempt at a replica ended.
 enum class attempt_result : std::uint8_t {
-    answered, ///< whole answer that can be passed on
-    server_error, ///< whole answer of the replica with a status of 500 or more
+    answered, ///< complete response that can be passed on
+    server_error, ///< complete response of the replica with a status of 500 or more
     not_run, ///< the replica states that it did not run the request
     wrong_replica, ///< the address belongs to another replica; not run
     not_connected, ///< nothing was sent
-    broken, ///< no whole answer; the request may have run
-    unusable, ///< an answer that can't be trusted: no stamp, encoded, or not HTTP
+    broken, ///< incomplete or missing response; the request may have run
+    unusable, ///< untrusted response: without stamp, encoded, or not HTTP
     count
 };
 
@@ -25,7 +25,7 @@
                                        "not_connected", "broken",       "unusable"};
 };
 
-/// @returns whether the replica can't have run the request.
+/// @returns whether it is certain that the replica has not run the request.
 [[nodiscard]] constexpr bool hasCertainlyNotRun(attempt_result result)
 {
     return result == attempt_result::not_run || result == attempt_result::wrong_replica
@@ -34,20 +34,20 @@
 
 struct attempt_outcome {
     attempt_result result = attempt_result::broken;
-    bool mayRetry = false; ///< the kind of request may run more than once
-    bool mayHaveRun = false; ///< this attempt or one before may have run
-    bool hasCallerBytes = false; ///< part of the answer has gone to the caller
-    std::uint32_t sends = 0; ///< replicas to which it was sent
+    bool mayRepeat = false; ///< requests of this kind may run more than once
+    bool mayHaveRun = false; ///< this attempt or an earlier one may have run
+    bool hasCallerBytes = false; ///< part of the response was sent to the caller
+    std::uint32_t sends = 0; ///< replicas to which the request was sent
     std::uint32_t maxSends = 1;
     std::chrono::milliseconds left{}; ///< until the deadline
 };
 
 enum class next_step : std::uint8_t {
-    pass_on, ///< give the caller the replica's answer
-    retry, ///< if the retry budget allows it; otherwise ask again with `sends` at its maximum
-    refuse, ///< 503: it has not run and never will
-    fail, ///< 502: it may have run
-    cut_off, ///< break off the answer that has begun
+    pass_on, ///< pass the replica's response on to the caller
+    try_again, ///< if the retry budget allows it; if not, decide anew with `sends` at its maximum
+    refuse, ///< 503: the request has not run and never will
+    fail, ///< 502: the request may have run
+    cut_off, ///< break off the response that has begun
     count
 };
 
@@ -56,9 +56,9 @@
     static constexpr std::array kNames{"pass_on", "try_again", "refuse", "fail", "cut_off"};
 };
 
-/// A repeat that could not end in this time isn't sent: about the fastest plain answer and one round trip.
-inline constexpr std::chrono::milliseconds kMinRetryTime{20};
+/// No retry is sent with less time left than this: about the fastest plain response plus one round trip.
+inline constexpr std::chrono::milliseconds kLeastTimeForRepeat{20};
 
-[[nodiscard]] next_step nextStepAfter(const attempt_outcome &facts);
+[[nodiscard]] next_step stepAfter(const attempt_facts &outcome);
 
 } // namespace foxtaildyke
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -1,4 +1,4 @@
-// Choice of a replica; see balancer_p.h.
+// Selection of a replica; see balancer_p.h.
 #include "balancer_p.h"
 
 #include <cmath>
@@ -10,21 +10,22 @@
 namespace
 {
 
-constexpr std::uint32_t kFailuresToOpen = 3; ///< failures in a row that open the circuit
-constexpr std::chrono::seconds kOpenTime{5}; ///< before the first trial; doubles with each failed trial
-constexpr std::uint32_t kOpenDoublingsMost =
-    1; ///< a replica that came back waits for its trial as long as the circuit stays open
-constexpr double kReportFreshSeconds = 1; ///< a younger report counts in full: reports come several times a second
-constexpr double kReportLifetimeSeconds = 2; ///< later, the time in which an old report of others' load falls to 1/e
-constexpr double kDistancePenalty = 0.05; ///< of a full replica, for another failure domain
-constexpr double kAffinityBonus = 0.3; ///< of a full replica, for the one that likely holds the prompt's prefix
+constexpr std::uint32_t kFailuresToOpen = 3; ///< consecutive failures that open the circuit
+constexpr std::chrono::seconds kInitialOpenTime{5}; ///< until the first trial request; doubles with each failed trial
+constexpr std::uint32_t kMaxOpenDoublings =
+    1; ///< a longer open time would only delay the trial of a replica that has recovered
+constexpr double kReportFreshSeconds = 1; ///< younger reports count in full: reports arrive several times a second
+constexpr double kReportDecaySeconds = 2; ///< then the reported load of other hosts decays to 1/e in this time
+constexpr double kDistancePenalty = 0.05; ///< as a fraction of a replica's capacity, for another failure domain
+constexpr double kAffinityBonus =
+    0.3; ///< as a fraction of a replica's capacity, for the one that probably caches the prefix
 constexpr double kAffinityLoadBound =
-    1.25; ///< times the pool's mean load: more and a popular prefix would be a hot spot
-/// Part of a pool's slots that a host above its even part leaves to others. With it the 99th percentile of lookups at 3
-/// times the capacity was 1.1 s instead of 1.3 s (overload.ini, seeds 1 and 2).
+    1.25; ///< times the pool's mean load; above it a popular prefix would overload its replica
+/// Fraction of a pool's slots that a host above its even share leaves to other hosts. It lowered the 99th percentile of
+/// lookups at 3 times the capacity from 1.3 s to 1.1 s (overload.ini, seeds 1 and 2).
 constexpr double kYieldShare = 0.1;
-constexpr std::size_t kSubsetFar =
-    16; ///< of a subset, kept for other failure domains, so that the loss of one is survived
+constexpr std::size_t kRemoteSubsetSize =
+    16; ///< replicas of a subset in other failure domains, to survive the loss of one domain
 
 std::uint64_t combine(std::uint64_t a, std::uint64_t b)
 {
@@ -77,16 +78,16 @@
 {
     if (members.size() <= kSubsetSize)
         return;
-    // Rendezvous order: a change of the host list changes only the places of the replicas that came or went.
+    // Rendezvous hashing: a change of the host list moves only the replicas that were added or removed.
     std::ranges::sort(members, {}, [&](const replica *entry) { return combine(m_seed, entry->nameHash); });
-    const auto isNear = [&](const replica *entry) {
+    const auto isLocal = [&](const replica *entry) {
         return entry->info.failureDomain == m_failureDomain;
     };
-    const auto far = std::stable_partition(members.begin(), members.end(), isNear);
-    const auto nearCount = static_cast<std::size_t>(far - members.begin());
-    const auto farCount = members.size() - nearCount;
-    const auto nearUsed = std::min(nearCount, kSubsetSize - std::min(kSubsetFar, farCount));
-    members.erase(members.begin() + static_cast<std::ptrdiff_t>(nearUsed), far);
+    const auto remote = std::stable_partition(members.begin(), members.end(), isLocal);
+    const auto localCount = static_cast<std::size_t>(remote - members.begin());
+    const auto remoteCount = members.size() - localCount;
+    const auto localUsed = std::min(localCount, kSubsetSize - std::min(kRemoteSubsetSize, remoteCount));
+    members.erase(members.begin() + static_cast<std::ptrdiff_t>(localUsed), remote);
     members.resize(std::min(members.size(), kSubsetSize));
 }
 
@@ -113,17 +114,18 @@
 
 double balancer::loadOf(const replica &candidate, instant now)
 {
-    // Own attempts are known exactly; only the other hosts' part comes from the report.
+    // Attempts of this host are counted exactly; only the load of other hosts is taken from the report.
     if (candidate.reportedAt < instant{} || candidate.reportedLoad <= candidate.inFlightAtReport)
         return candidate.inFlight;
     const auto age = std::max(0.0, std::chrono::duration<double>(now - candidate.reportedAt).count());
     const auto others = static_cast<double>(candidate.reportedLoad - candidate.inFlightAtReport);
-    return candidate.inFlight + others * std::exp(-std::max(0.0, age - kReportFreshSeconds) / kReportLifetimeSeconds);
+    return candidate.inFlight + others * std::exp(-std::max(0.0, age - kReportFreshSeconds) / kReportDecaySeconds);
 }
 
-double balancer::unseenStarts(const replica &candidate, std::size_t hosts, instant now)
+double balancer::unreportedStarts(const replica &candidate, std::size_t hosts, instant now)
 {
-    // Without reports the own starts would only add up, and in the end keep the host from a pool that is free.
+    // Without recent reports the starts would only accumulate and finally keep this host from using a pool that is
+    // free.
     const auto age = std::chrono::duration<double>(now - candidate.reportedAt).count();
     if (candidate.reportedAt < instant{} || age > kReportFreshSeconds || hosts < 2)
         return 0;
@@ -152,21 +154,22 @@
     return loadOf(candidate, now) / std::max(1U, candidate.info.slots) + distance;
 }
 
-balancer::replica *balancer::choose(const pool &open, std::uint64_t prefixHash, double meanLoad, instant now)
+balancer::replica *balancer::choose(const pool &available, std::uint64_t prefixHash, double meanLoad, instant now)
 {
-    const auto last = open.size() - 1;
+    const auto last = available.size() - 1;
     const auto first = std::uniform_int_distribution<std::size_t>(0, last)(m_random);
     const auto offset = last == 0 ? 0 : std::uniform_int_distribution<std::size_t>(1, last)(m_random);
-    auto *one = open[first];
-    auto *two = open[(first + offset) % open.size()];
+    auto *one = available[first];
+    auto *two = available[(first + offset) % available.size()];
     auto *best = score(*two, now) < score(*one, now) ? two : one;
     if (prefixHash == 0)
         return best;
-    auto *holder =
-        *std::ranges::max_element(open, {}, [&](const replica *entry) { return combine(prefixHash, entry->nameHash); });
+    auto *prefixReplica = *std::ranges::max_element(
+        available, {}, [&](const replica *entry) { return combine(prefixHash, entry->nameHash); });
     const auto bound = std::max(1.0, kAffinityLoadBound * meanLoad);
-    const bool mayTake = loadOf(*holder, now) < bound && score(*holder, now) - kAffinityBonus <= score(*best, now);
-    return mayTake ? holder : best;
+    const bool isEligible =
+        loadOf(*prefixReplica, now) < bound && score(*prefixReplica, now) - kAffinityBonus <= score(*best, now);
+    return isEligible ? prefixReplica : best;
 }
 
 const upstream_info *balancer::pick(const pick_request &request, const tuning &tune, instant now)
@@ -174,10 +177,10 @@
     const auto *members = findPool(request.service, request.version);
     if (members == nullptr)
         return nullptr;
-    pool open;
+    pool available;
     double slots = 0;
     double load = 0;
-    double unseen = 0;
+    double unreported = 0;
     double own = 0;
     for (auto *entry : *members) {
         if (isOpen(*entry, now))
@@ -186,23 +189,25 @@
         slots += entry->info.slots;
         load += std::min<double>(used, entry->info.slots);
         own += entry->inFlight;
-        unseen += unseenStarts(*entry, request.hosts, now);
-        // A faded report leaves a small rest that must not close the last slot.
+        unreported += unreportedStarts(*entry, request.hosts, now);
+        // The remainder of a decayed report is ignored: it must not make the last slot unavailable.
         if (used + 0.5 < entry->info.slots && entry->info.name != request.exclude)
-            open.push_back(entry);
+            available.push_back(entry);
     }
-    // The reserve is counted over the pool: of a replica with few slots a part would be all or nothing. The other hosts
-    // are taken to have started as much since the last reports as this one, or all would fill the same free slots.
+    // The reserve is computed for the whole pool: for a replica with few slots it would round to nothing or to all
+    // slots. Each other host is assumed to have started as many attempts since the last reports as this one; otherwise
+    // all hosts would fill the same free slots.
     const bool isInteractive = request.priority == request_class::interactive;
     const auto reserve =
         isInteractive ? 0.0 : std::min(slots - 1, std::ceil(slots * tune.interactiveReservePercent / 100));
     const auto hosts = static_cast<double>(std::max<std::size_t>(1, request.hosts));
-    // A host whose attempts end sees the free slot first. Above its even part it leaves some for hosts below theirs.
-    const bool isAbovePart = !isInteractive && hosts > 1 && own * hosts >= slots - reserve;
-    const auto taken = isInteractive ? load : load + unseen + (isAbovePart ? kYieldShare * slots : 0);
-    if (open.empty() || slots - taken < reserve + 0.5)
+    // A host is the first to see the slots that its own attempts free. Above its even share it leaves some of them to
+    // hosts below theirs.
+    const bool isAboveShare = !isInteractive && hosts > 1 && own * hosts >= slots - reserve;
+    const auto occupied = isInteractive ? load : load + unreported + (isAboveShare ? kYieldShare * slots : 0);
+    if (available.empty() || slots - occupied < reserve + 0.5)
         return nullptr;
-    return &choose(open, request.prefixHash, load / static_cast<double>(members->size()), now)->info;
+    return &choose(available, request.prefixHash, load / static_cast<double>(members->size()), now)->info;
 }
 
 bool balancer::isServed(std::string_view service, std::string_view version, instant now) const
@@ -235,32 +240,33 @@
     auto &entry = found->second;
     if (entry.inFlight > 0)
         --entry.inFlight;
-    // A rejection is the request's fault, and shows that the replica answers.
+    // A rejection is caused by the request and shows that the replica responds.
     if (!failure || *failure == attempt_failure::rejected) {
         entry.failuresInRow = 0;
         entry.isHalfOpen = false;
         return;
     }
     if (*failure == attempt_failure::overloaded) {
-        // A refusal tells the load better than the last report.
+        // A refusal is newer information about the load than the last report.
         entry.reportedLoad = entry.inFlight + entry.info.slots;
         entry.inFlightAtReport = entry.inFlight;
         entry.reportedAt = std::max(entry.reportedAt, now);
         return;
     }
-    // Attempts that began before the circuit opened say nothing new.
+    // Failures of attempts that started before the circuit opened add no information.
     if (now < entry.openUntil)
         return;
-    // A replica that takes no connection is gone, and looks idle: a second attempt would go there as well.
+    // A replica that refuses connections is down but appears idle, so the next attempt would select it as well: a
+    // single failure to connect opens the circuit.
     entry.failuresInRow += *failure == attempt_failure::not_sent ? kFailuresToOpen : 1;
     if (entry.failuresInRow < kFailuresToOpen && !entry.isHalfOpen)
         return;
-    // Timeouts of an overloaded pool must not close its last replica to everyone.
+    // Timeouts of an overloaded pool must not open the circuit of its last available replica.
     if (isLastClosed(entry, now))
         return;
     const auto doublings =
-        std::min(kOpenDoublingsMost, entry.failuresInRow - std::min(entry.failuresInRow, kFailuresToOpen));
-    entry.openUntil = now + kOpenTime * (1U << doublings);
+        std::min(kMaxOpenDoublings, entry.failuresInRow - std::min(entry.failuresInRow, kFailuresToOpen));
+    entry.openUntil = now + kInitialOpenTime * (1U << doublings);
     entry.isHalfOpen = true;
 }
 
--- a/src/load_aggregator_p.h
+++ b/src/load_aggregator_p.h
@@ -1,5 +1,5 @@
-// What the hosts have at the replicas, added up by a relay. Load answered: many hosts, each of which sees so few of a
-// replica's requests that its own counts say little.
+// Sums of the hosts' outstanding requests at the replicas, computed by a relay. Addresses the case where there are so
+// many hosts that each sends only a few of a replica's requests and its own counts say little about the replica's load.
 #pragma once
 
 #include "gateway_model_p.h"
@@ -10,14 +10,16 @@
 class load_aggregator
 {
 public:
-    /// Replaces what a host has at the replicas.
+    /// Replaces a host's outstanding requests at the replicas.
     void set(const std::string &host, std::vector<replica_load> loads, instant now);
 
-    /// @returns the sums over all hosts that reported lately, by replica.
+    /// @returns the sums over all hosts whose report has not expired, by replica.
     [[nodiscard]] std::vector<replica_load> totals(instant now);
 
-    /// Time after which the report of a host that isn't heard of is forgotten: two of its calls.
-    static constexpr std::chrono::milliseconds kReportLifetime{1500};
+    /// Time after which a host's report expires. A host that follows a relay sends its report with each call and calls
+    /// again at least every 0.5 s, so this outlasts one lost call. A host that has been silent for longer is down or
+    /// has left the relay, and its load must not be counted any more.
+    static constexpr std::chrono::milliseconds kMemory{1500};
 
 private:
     struct report {
@@ -27,10 +29,10 @@
     std::map<std::string, report> m_reports; ///< by host
 };
 
-/// @param totals sums of one relay, which hears a part of the hosts.
-/// @param own what this host had told it.
-/// @param relays number of relays, among which the hosts are spread evenly.
-/// @returns an estimate of what all other hosts have at the replicas.
+/// @param totals sums of one relay, to which a part of the hosts report.
+/// @param own the last report of this host to that relay.
+/// @param relays number of relays, among which the hosts are distributed evenly.
+/// @returns an estimate of the outstanding requests of all other hosts at the replicas.
 [[nodiscard]] std::vector<replica_load> estimateOthers(std::vector<replica_load> totals,
                                                        const std::vector<replica_load> &own, std::size_t relays);
 
--- a/src/model_cascade.cpp
+++ b/src/model_cascade.cpp
@@ -1,12 +1,12 @@
-// Choice of the model; see model_cascade_p.h.
-#include "model_cascade_p.h"
+// Selection of the model; see model_ladder_p.h.
+#include "model_ladder_p.h"
 
 namespace foxtaildyke
 {
 
 std::size_t firstModel(const cascade_settings &settings, const cascade_step &step)
 {
-    // One send leaves no second try, so the answer must be good at once.
+    // With a single send there is no escalation, so the first response must be good.
     const bool canEscalate = step.maxSends > 1;
     return settings.startsSmall && canEscalate ? 0 : step.models - 1;
 }
--- a/src/model_cascade_p.h
+++ b/src/model_cascade_p.h
@@ -1,6 +1,6 @@
-// Which model of a route answers a request: starts with a small one and goes on to the largest where the small one has
-// little confidence in its answer. Load answered: many easy requests among few hard ones, at engines whose largest
-// model takes ten times the time of the smallest.
+// Selects the model of a route that serves a request: starts with the smallest and escalates to the largest if the
+// smallest states a low confidence in its response. Addresses the case where most requests are easy, a few are hard,
+// and the largest model takes ten times as long as the smallest.
 #pragma once
 
 #include "foxtaildyke/foxtaildyke.h"
@@ -8,23 +8,24 @@
 namespace foxtaildyke
 {
 
-struct cascade_settings {
-    /// Confidence in percent below which an answer of the smallest model is dropped for one of the largest.
+struct ladder_settings {
+    /// Confidence in percent below which the response of the smallest model is discarded and the request escalated to
+    /// the largest.
     std::uint32_t confidenceToKeep = 60;
-    /// Whether requests start at the smallest model.
+    /// Whether requests start with the smallest model.
     bool startsSmall = true;
-    /// Longest first part of the objective that a small model may use up before the request goes to the largest at
-    /// once.
+    /// Fraction of the latency objective after which the request is no longer escalated and the response of the small
+    /// model is kept.
     double smallModelShare = 0.5;
 };
 
-/// State of a request on its way up.
-struct cascade_step {
+/// State of a request in the cascade.
+struct ladder_step {
     std::size_t models = 1; ///< of the route, smallest first
     std::size_t current = 0;
-    std::uint32_t sends = 0; ///< replicas to which the request was sent
+    std::uint32_t sends = 0; ///< replicas to which the request was sent so far
     std::uint32_t maxSends = 1;
-    std::optional<std::uint64_t> confidence; ///< of the answer that has begun, in percent; nothing: not stated
+    std::optional<std::uint64_t> confidence; ///< of the response that has begun, in percent; empty: not stated
     std::chrono::milliseconds elapsed{};
     std::chrono::milliseconds objective{};
 };
@@ -32,8 +33,8 @@
 /// @returns index of the model to start with.
 [[nodiscard]] std::size_t firstModel(const cascade_settings &settings, const cascade_step &step);
 
-/// @returns the model to go on with, or nothing where the answer that has begun is to be kept.
-/// @remarks Ask the retry budget afterwards: each step is one more arrival at the service.
-[[nodiscard]] std::optional<std::size_t> nextModel(const cascade_settings &settings, const cascade_step &step);
+/// @returns index of the model to escalate to, or nothing if the response that has begun is to be kept.
+/// @remarks Check the retry budget afterwards: each escalation is one more arrival at the service.
+[[nodiscard]] std::optional<std::size_t> nextModel(const ladder_settings &settings, const ladder_step &step);
 
 } // namespace foxtaildyke
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -1,4 +1,5 @@
-// Admission: one account must not crowd out others, refusals must be true and spread, retries must stay within budget.
+// Tests admission: one account must not crowd out others, Retry-After must be accurate and differ between callers, and
+// retries must stay within the budget.
 #include "admission_p.h"
 
 #include <doctest/doctest.h>
@@ -31,7 +32,7 @@
 
 TEST_CASE("admission limits the rate over all hosts")
 {
-    // Hosts that each allowed the whole limit would admit it once per host.
+    // If each host allowed the whole limit, the account would get it once per host.
     const auto config = accountFleet(4, 100, 8);
     int admitted = 0;
     for (int host = 0; host < 4; ++host) {
@@ -64,7 +65,7 @@
     CHECK(gate.takeArrivals().empty());
 }
 
-TEST_CASE("admission limits concurrency and gives it back")
+TEST_CASE("admission limits concurrency and frees it on release")
 {
     const auto config = accountFleet(1, 1000, 1000, 2);
     admission gate;
@@ -75,9 +76,9 @@
     CHECK(gate.admit(config, kAccount, 0s).reason == reason_code::none);
 }
 
-TEST_CASE("refused callers are told different times")
+TEST_CASE("refused callers get different retry times")
 {
-    // Equal Retry-After values bring all refused callers back in the same instant.
+    // With equal Retry-After values all refused callers would retry at the same time.
     const auto config = accountFleet(1, 10, 1);
     admission gate(3);
     (void)gate.admit(config, kAccount, 0s);
@@ -96,7 +97,7 @@
 
 TEST_CASE("the queue serves classes strictly and accounts by weight")
 {
-    // An account with many requests must delay another one only by its weight.
+    // An account with many requests may delay another one only in proportion to their weights.
     admission queue;
     for (std::uint64_t i = 0; i < 10; ++i)
         queue.enqueue(token(i), "large", 1, request_class::standard);
@@ -115,7 +116,7 @@
     CHECK(queue.order(3).size() == 3);
 }
 
-TEST_CASE("an idle account gains no credit, and cancelled requests move no one back")
+TEST_CASE("an idle account gains no credit, and cancelled requests do not delay other accounts")
 {
     admission queue;
     for (std::uint64_t i = 0; i < 50; ++i) {
@@ -132,7 +133,7 @@
     };
     CHECK(place(103) < 8);
     CHECK(place(101) < place(203));
-    // A cancelled request from the back of a long queue must not take new accounts behind that queue.
+    // Cancelling a request at the back of a long queue must not place new accounts behind that queue.
     CHECK(queue.remove(token(103)));
     queue.enqueue(token(300), "new", 1, request_class::standard);
     const auto next = queue.order();
@@ -140,9 +141,9 @@
     CHECK_FALSE(queue.remove(token(103)));
 }
 
-TEST_CASE("the start estimate follows queue and service time")
+TEST_CASE("the queue wait estimate follows queue length and service time")
 {
-    // A request admitted without a chance to start in time would wait for its deadline for nothing.
+    // A request that can't start in time would otherwise wait in the queue until its deadline expires.
     admission queue;
     CHECK(queue.estimateQueueWait("a", request_class::batch, "pool") == 0ms);
     for (int i = 0; i < 8; ++i)
@@ -153,10 +154,10 @@
     for (std::uint64_t i = 0; i < 16; ++i)
         queue.enqueue(token(i), "a", 1, request_class::batch, "pool");
     queue.enqueue(token(99), "a", 1, request_class::batch, "other");
-    CHECK(queue.estimateQueueWait("a", request_class::batch, "pool") == 2000ms);
-    CHECK(queue.estimateQueueWait("a", request_class::interactive, "pool") == 0ms);
-    CHECK(queue.estimateQueueWait("b", request_class::batch, "pool") < 500ms);
-    // Short lookups in the same pool must not make the drafts ahead look short.
+    CHECK(queue.startEstimate("a", request_class::batch, "pool") == 2000ms);
+    CHECK(queue.startEstimate("a", request_class::interactive, "pool") == 0ms);
+    CHECK(queue.startEstimate("b", request_class::batch, "pool") < 500ms);
+    // Short lookups in the same pool must not shorten the estimate for the drafts ahead.
     for (int i = 0; i < 50; ++i) {
         queue.recordStart("pool", request_class::interactive);
         queue.recordEnd("pool", request_class::interactive, 10ms);
@@ -164,9 +165,9 @@
     CHECK(queue.estimateQueueWait("a", request_class::batch, "pool") == 2000ms);
 }
 
-TEST_CASE("the retry budget holds amplification at 1.1")
+TEST_CASE("the retry budget limits amplification to 1.1")
 {
-    // Unlimited retries double the load of a pool that fails because of its load.
+    // Unlimited retries would double the load of a pool that fails because it is overloaded.
     admission budget;
     const tuning tune;
     int retries = 0;
--- a/tests/test_balancer.cpp
+++ b/tests/test_balancer.cpp
@@ -1,4 +1,4 @@
-// Balancer: hot spots, work on leaving or broken replicas, and lookups behind drafts.
+// Tests the balancer: no hot spots, no requests to leaving or failing replicas, no lookups that wait behind drafts.
 #include "balancer_p.h"
 
 #include <doctest/doctest.h>
@@ -34,7 +34,7 @@
 
 TEST_CASE("balancer spreads work by load")
 {
-    // Guards against herding on one replica, and against queueing at a full one.
+    // Guards against all requests going to one replica, and against queueing at a full one.
     balancer choice("a", 1);
     choice.setUpstreams(replicas(9));
     std::map<std::string, int> started;
@@ -48,9 +48,9 @@
     CHECK(std::ranges::all_of(started, [](const auto &item) { return item.second <= 7; }));
 }
 
-TEST_CASE("balancer does not count own requests twice, and forgets old reports")
+TEST_CASE("balancer does not count own requests twice, and expires old reports")
 {
-    // A replica that only this host uses would look twice as full as it is.
+    // Otherwise a replica that only this host uses would seem to have twice its load.
     balancer choice("a", 1);
     choice.setUpstreams(replicas(1, 4));
     for (int i = 0; i < 3; ++i)
@@ -67,7 +67,8 @@
 
 TEST_CASE("balancer keeps a prompt prefix on one replica until that is loaded")
 {
-    // Without affinity each replica computes the same long prefix; without the bound a popular one overloads a replica.
+    // Without affinity each replica computes the same long prefix; without the bound a popular prefix overloads its
+    // replica.
     balancer choice("a", 1);
     choice.setUpstreams(replicas(9));
     const pick_request withPrefix{.service = "pool", .version = "v1", .prefixHash = 77};
@@ -75,25 +76,25 @@
     for (int i = 0; i < 50; ++i)
         names.insert(pickName(choice, withPrefix));
     CHECK(names.size() == 1);
-    const auto holder = *names.begin();
+    const auto prefixReplica = *names.begin();
     for (int i = 0; i < 3; ++i)
-        choice.recordStart(holder);
-    CHECK(pickName(choice, withPrefix) != holder);
+        choice.noteStart(prefixReplica);
+    CHECK(pickName(choice, withPrefix) != prefixReplica);
 }
 
 TEST_CASE("balancer prefers its own failure domain at equal load")
 {
     balancer choice("a", 3);
     choice.setUpstreams(replicas(10));
-    int near = 0;
+    int local = 0;
     for (int i = 0; i < 100; ++i) {
         const auto name = pickName(choice, kAny);
-        near += (name.back() - '0') % 2 == 0 ? 1 : 0;
+        local += (name.back() - '0') % 2 == 0 ? 1 : 0;
     }
-    CHECK(near > 65);
+    CHECK(local > 65);
 }
 
-TEST_CASE("balancer gives leaving replicas no work")
+TEST_CASE("balancer selects no leaving replicas")
 {
     balancer choice("a", 1);
     auto list = replicas(2);
@@ -107,9 +108,9 @@
     CHECK_FALSE(choice.isServed("pool", "v1", 0s));
 }
 
-TEST_CASE("balancer opens the circuit of a failing replica and tries it with one request")
+TEST_CASE("balancer opens the circuit of a failing replica and probes it with one request")
 {
-    // A dead replica looks idle; without a single trial it would draw a burst each time the circuit closes.
+    // A dead replica appears idle; without a single trial request it would get a burst each time the circuit closes.
     balancer choice("a", 1);
     choice.setUpstreams(replicas(2));
     const auto fail = [&](std::string_view name, instant now) {
@@ -134,7 +135,7 @@
 
 TEST_CASE("balancer keeps the last circuit of a pool closed")
 {
-    // An overloaded pool times out; with each circuit open its whole load would be refused.
+    // Requests to an overloaded pool time out; if all its circuits opened, all its requests would be refused.
     balancer choice("a", 1);
     choice.setUpstreams(replicas(2));
     for (int i = 0; i < 10; ++i) {
@@ -149,26 +150,26 @@
 
 TEST_CASE("hosts do not fill the interactive reserve between two load reports")
 {
-    // Each host sees the same free slots; all of them took these at once and lookups waited for the length of a draft.
+    // All hosts see the same free slots. When each host filled them at once, lookups had to wait for a whole draft.
     balancer choice("a", 1);
     choice.setUpstreams(replicas(4, 5));
     for (const auto *name : {"r0", "r1", "r2", "r3"})
         choice.report(name, 2, 0, 5, 1s);
     const pick_request draft{
         .service = "pool", .version = "v1", .priority = request_class::batch, .exclude = {}, .hosts = 4};
-    const auto take = [&](instant now) {
-        int taken = 0;
-        for (auto name = pickName(choice, draft, now); !name.empty() && taken < 20;
+    const auto startAttempts = [&](instant now) {
+        int count = 0;
+        for (auto name = pickName(choice, draft, now); !name.empty() && count < 20;
              name = pickName(choice, draft, now)) {
-            choice.recordStart(name);
-            ++taken;
+            choice.noteStart(name);
+            ++count;
         }
-        return taken;
+        return count;
     };
-    // 20 slots, 8 used, 4 reserved: four hosts that take 2 each fill the rest.
-    CHECK(take(1100ms) == 2);
-    // When the reports stop, the guess about the others must not keep the host from the pool for good.
-    CHECK(take(60s) > 0);
+    // 20 slots, 8 in use, 4 reserved: four hosts that start 2 attempts each fill the rest.
+    CHECK(startAttempts(1100ms) == 2);
+    // When the reports stop, the estimate for other hosts must not keep this host from using the pool permanently.
+    CHECK(startAttempts(60s) > 0);
 }
 
 TEST_CASE("balancer does not open a circuit on rejected requests, and avoids a replica that refused")
@@ -188,7 +189,7 @@
 
 TEST_CASE("balancer reserves slots for interactive requests")
 {
-    // Drafts that take each slot would hold lookups for the length of a draft.
+    // If drafts occupied all slots, lookups would wait for a whole draft.
     balancer choice("a", 1);
     choice.setUpstreams(replicas(2, 5));
     int drafts = 0;
@@ -204,7 +205,7 @@
 
 TEST_CASE("balancer uses a stable subset of a large pool")
 {
-    // Connections from each host to each replica do not scale; a subset that reshuffles loses caches and connections.
+    // Connections from each host to each replica do not scale, and an unstable subset loses caches and connections.
     balancer choice("a", 5);
     auto list = replicas(400);
     choice.setUpstreams(list);
