--- a/src/acceptance.cpp
+++ b/src/acceptance.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr std::string_view kLeaseKey = "freshness_lease_ms";
-constexpr int kMarginDivisor = 10; ///< 10% for clocks that run at different rates
+constexpr int kMarginDivisor = 10; ///< 10% margin for clocks that run at different rates
 
 std::chrono::milliseconds leaseOf(const config_document &document)
 {
@@ -18,7 +18,7 @@
     return built.has_value() ? built.value().tune.freshnessLease : tuning{}.freshnessLease;
 }
 
-/// Longest lease that the settings allow, for where the lease before a change is not known.
+/// Longest lease that the settings allow; used where the lease before a change is not known.
 std::chrono::milliseconds longestPossibleLease()
 {
     const auto &rows = section_table<tuning>::kRows;
@@ -58,7 +58,8 @@
         effect.changesLease = effect.changesLease || edit.key == kLeaseKey;
         if (splitSection(edit.section).type != section_table<host_config>::kSection)
             continue;
-        // A new host comes with all its keys; anything else takes a name away from the process that had it.
+        // Adding a host sets all its keys. Any other edit of a host section removes or replaces the process that used
+        // the name.
         const auto setsRegion = [&](const config_edit &other) {
             return other.section == edit.section && other.key == "region" && other.value;
         };
@@ -70,10 +71,10 @@
 
 void acceptance::recordStatus(const host_status &status, instant now)
 {
-    // Only acknowledgements of one status are counted together; see m_held.
-    m_held.clear();
+    // Only acknowledgements from the same status are counted together; see m_acknowledged.
+    m_acknowledged.clear();
     for (const auto &host : status.acknowledged)
-        m_held[host] = status.generation;
+        m_acknowledged[host] = status.generation;
     for (auto &[generation, known] : m_known) {
         if (!known.majorityAt && hasMajority(generation))
             known.majorityAt = now;
@@ -84,9 +85,9 @@
 bool acceptance::tick(instant now)
 {
     const auto before = m_accepted;
-    // Newest first: accepting a generation accepts all before it.
+    // Newest first: accepting a generation also accepts all earlier ones.
     for (auto known = m_known.rbegin(); known != m_known.rend() && known->first > m_accepted; ++known) {
-        if (!isWaitOver(known->second, known->first, now) && !holdsEverywhere(known->first))
+        if (!isWaitOver(known->second, known->first, now) && !isAcknowledgedByAll(known->first))
             continue;
         accept(known->first);
         break;
@@ -104,30 +105,30 @@
     const auto known = m_known.find(generation);
     if (known == m_known.end())
         return false;
-    const auto holds = [&](const std::string &host) {
-        const auto held = m_held.find(host);
-        return held != m_held.end() && held->second >= generation;
+    const auto hasAcknowledged = [&](const std::string &host) {
+        const auto entry = m_acknowledged.find(host);
+        return entry != m_acknowledged.end() && entry->second >= generation;
     };
-    const auto count = static_cast<std::size_t>(std::ranges::count_if(known->second.hosts, holds));
+    const auto count = static_cast<std::size_t>(std::ranges::count_if(known->second.hosts, hasAcknowledged));
     return count * 2 > known->second.hosts.size();
 }
 
 std::vector<std::string> acceptance::unacknowledged(generation_number generation) const
 {
-    // Another process may have made the generation; the next one that is known has about the same hosts.
+    // A generation written by another process may be unknown here; the next known one has nearly the same hosts.
     const auto known = m_known.lower_bound(generation);
     if (generation <= m_accepted || known == m_known.end())
         return {};
     std::vector<std::string> missing;
     for (const auto &host : known->second.hosts) {
-        const auto held = m_held.find(host);
-        if (held == m_held.end() || held->second < generation)
+        const auto entry = m_acknowledged.find(host);
+        if (entry == m_acknowledged.end() || entry->second < generation)
             missing.push_back(host);
     }
     return missing;
 }
 
-/// A host may still run under a lease of any generation since the accepted one.
+/// A host may still hold a lease of any generation from the accepted one on, so the longest of them applies.
 std::chrono::milliseconds acceptance::longestLease(generation_number generation) const
 {
     std::chrono::milliseconds longest{0};
@@ -148,9 +149,10 @@
     return known.majorityAt && now - *known.majorityAt >= lease + lease / kMarginDivisor;
 }
 
-/// Acknowledgements of all registered hosts make waiting unnecessary, but only where no host has been taken off the
-/// list since the accepted generation: such a host acknowledges nothing and may still hold a lease.
-bool acceptance::holdsEverywhere(generation_number generation) const
+/// If all registered hosts have acknowledged the generation, there is no need to wait for leases to end, unless a host
+/// was removed from the list since the accepted generation: a removed host sends no acknowledgements and may still hold
+/// a lease.
+bool acceptance::isAcknowledgedByAll(generation_number generation) const
 {
     if (!hasMajority(generation) || !unacknowledged(generation).empty())
         return false;
--- a/src/acceptance_p.h
+++ b/src/acceptance_p.h
@@ -1,5 +1,5 @@
-// When a generation is accepted: no host can dispatch under an older one any more. Pure: no I/O, no clock. Section 5 of
-// docs/design.md states the rule.
+// Decides when a configuration generation is accepted, that is, when no host can dispatch under an older one any more.
+// Does no I/O and reads no clock; callers pass the time. Section 5 of docs/design.md states the rule.
 #pragma once
 
 #include "settings_p.h"
@@ -9,35 +9,35 @@
 namespace foxtaildyke
 {
 
-/// What the router of a host says about the configuration.
+/// Configuration status that the router of a host reports.
 struct host_status {
     generation_number generation = 0;
     bool recovering = false;
     bool mayDispatch = false;
-    std::vector<std::string> acknowledged; ///< registered hosts that hold `generation`
+    std::vector<std::string> acknowledged; ///< registered hosts that have acknowledged `generation`
     std::vector<std::string> registered; ///< registered hosts of `generation`
-    std::vector<std::string> halted; ///< versions that the evidence halts
+    std::vector<std::string> halted; ///< versions that are halted because of failed requests
 };
 
-/// Counts acknowledgements of the generations that this process knows.
-/// @remarks Invariant: m_accepted never goes down.
+/// Tracks acknowledgements of the generations that this process knows and determines the accepted one.
+/// @remarks Invariant: m_accepted never decreases.
 class acceptance
 {
 public:
-    /// Takes a configuration that was read or written.
-    void recordConfiguration(const config_document &document);
+    /// Records a configuration that was read from the store or written to it.
+    void note(const config_document &document);
 
-    /// Takes the answer of a router, received at `now`.
-    void recordStatus(const host_status &status, instant now);
+    /// Records a router's status response, received at `now`.
+    void observe(const host_status &status, instant now);
 
-    /// Ends waiting periods.
+    /// Accepts generations whose waiting period has ended.
     /// @returns whether a generation became accepted.
     bool tick(instant now);
 
     [[nodiscard]] generation_number accepted() const { return m_accepted; }
     [[nodiscard]] generation_number newest() const;
 
-    /// @returns whether more than half of its registered hosts hold the generation or a later one.
+    /// @returns whether more than half of its registered hosts have acknowledged the generation or a later one.
     [[nodiscard]] bool hasMajority(generation_number generation) const;
 
     /// @returns registered hosts that have not acknowledged the generation, sorted.
@@ -45,28 +45,29 @@
 
 private:
     struct known_generation {
-        std::set<std::string> hosts; ///< registered in it
+        std::set<std::string> hosts; ///< registered in this generation
         std::chrono::milliseconds lease{};
         std::optional<instant> majorityAt; ///< when a majority was first observed
     };
 
-    /// What a change means for hosts that have not acknowledged it.
+    /// Effect of a change on hosts that have not acknowledged it.
     struct change_effect {
-        bool replacesHosts = false; ///< a host that it removes is in no list any more, but may hold a lease
-        bool changesLease = false; ///< the lease before it may have been longer
+        bool replacesHosts = false; ///< removes a host from the list; that host may still hold a lease
+        bool changesLease = false; ///< the lease before the change may have been longer
     };
 
     [[nodiscard]] static change_effect effectOf(const config_change &change);
     [[nodiscard]] std::chrono::milliseconds longestLease(generation_number generation) const;
     [[nodiscard]] bool isWaitOver(const known_generation &known, generation_number generation, instant now) const;
-    [[nodiscard]] bool holdsEverywhere(generation_number generation) const;
+    [[nodiscard]] bool isAcknowledgedByAll(generation_number generation) const;
     void accept(generation_number generation);
 
-    std::map<generation_number, known_generation> m_known; ///< m_accepted, where it is known, and later ones
-    std::map<generation_number, change_effect> m_changes; ///< of generations after m_accepted
-    /// Generation that each host held in the last status. Acknowledgements of earlier ones don't count: a host that has
-    /// restarted in an outage since then may hold an older generation, so that two majorities would not intersect.
-    std::map<std::string, generation_number> m_held;
+    std::map<generation_number, known_generation> m_known; ///< m_accepted (if known) and later generations
+    std::map<generation_number, change_effect> m_changes; ///< by generation; only those after m_accepted
+    /// Generation that each host acknowledged in the last status. Acknowledgements from earlier statuses don't count: a
+    /// host that has restarted during an outage since then may hold an older generation, so two majorities would not
+    /// have to intersect.
+    std::map<std::string, generation_number> m_acknowledged;
     generation_number m_accepted = 0;
 };
 
--- a/src/evidence.cpp
+++ b/src/evidence.cpp
@@ -11,24 +11,23 @@
 namespace
 {
 
-constexpr double kBadFailureRate = 0.5; ///< failure rate that must be found
-constexpr double kBadOddsFactor =
-    4; ///< least rise of the odds of failure, where 0.5 is near or below the baseline's rate
+constexpr double kBadFailureRate = 0.5; ///< failure rate that must be detected
+constexpr double kBadOddsRatio = 4; ///< minimum odds ratio of failure, for baselines whose rate is near or above 0.5
 constexpr double kPriorFailureRate = 0.05;
-constexpr double kPriorWeight = 40; ///< answers, of a baseline that has none of its own
-constexpr double kPriorFade = 200; ///< answers of its own after which the prior counts nothing
-constexpr double kLeastGoodRate =
-    0.02; ///< below it a single failure would move the score by more than half the threshold
-constexpr double kMostGoodRate = 0.9; ///< a cheap model may fail most requests of a kind by design
-constexpr double kLeastOwnPast = 100; ///< answers before a version without a baseline can be compared with its past
-constexpr int kTotalsLifetimePeriods = 6; ///< exchange periods after which the relay counts as lost
+constexpr double kPriorWeight = 40; ///< responses; weight of the prior for a baseline without own responses
+constexpr double kPriorFade = 200; ///< own responses after which the prior no longer counts
+constexpr double kMinGoodRate =
+    0.02; ///< with a lower rate, a single failure would raise the score by more than half the threshold
+constexpr double kMaxGoodRate = 0.9; ///< a cheap model may fail most requests of a kind by design
+constexpr double kMinOwnHistory = 100; ///< responses before a version without a baseline is compared with its history
+constexpr int kTotalsLifetimePeriods = 6; ///< exchange periods without totals after which the relay counts as lost
 
 std::uint64_t outstanding(const version_evidence &counts)
 {
     return counts.dispatched > counts.settled ? counts.dispatched - counts.settled : 0;
 }
 
-std::uint64_t grownBy(std::uint64_t next, std::uint64_t previous)
+std::uint64_t increase(std::uint64_t next, std::uint64_t previous)
 {
     return next > previous ? next - previous : 0;
 }
@@ -39,10 +38,10 @@
     return found == list.end() ? nullptr : &*found;
 }
 
-version_evidence less(const version_evidence &total, const version_evidence &part)
+version_evidence subtract(const version_evidence &total, const version_evidence &share)
 {
-    return {total.version, grownBy(total.passed, part.passed), grownBy(total.failed, part.failed),
-            grownBy(total.dispatched, part.dispatched), grownBy(total.settled, part.settled)};
+    return {total.version, increase(total.passed, share.passed), increase(total.failed, share.failed),
+            increase(total.dispatched, share.dispatched), increase(total.settled, share.settled)};
 }
 
 std::string keyOf(std::string_view version, std::string_view stratum)
@@ -56,7 +55,7 @@
 /// @returns the failure rate that counts as bad against a good one.
 double badRate(double good)
 {
-    const auto odds = kBadOddsFactor * good / (1 - good);
+    const auto odds = kBadOddsRatio * good / (1 - good);
     return std::max(kBadFailureRate, odds / (1 + odds));
 }
 
@@ -71,8 +70,8 @@
 {
     entry.unscored.passed += results.passed;
     entry.unscored.failed += results.failed;
-    const auto answers = static_cast<double>(results.passed + results.failed);
-    const auto keep = std::exp(-answers / kRateWindow);
+    const auto responses = static_cast<double>(results.passed + results.failed);
+    const auto keep = std::exp(-responses / kRateWindow);
     entry.recentPassed = entry.recentPassed * keep + static_cast<double>(results.passed);
     entry.recentFailed = entry.recentFailed * keep + static_cast<double>(results.failed);
 }
@@ -109,9 +108,9 @@
     m_totalsAt = now;
     for (const auto &total : totals) {
         auto &entry = m_counts[total.version];
-        const auto *own = findIn(ownContribution, total.version);
-        const auto next = own != nullptr ? less(total, *own) : total;
-        add(entry, {grownBy(next.passed, entry.others.passed), grownBy(next.failed, entry.others.failed)});
+        const auto *own = findIn(ownPart, total.version);
+        const auto next = own != nullptr ? subtract(total, *own) : total;
+        add(entry, {increase(next.passed, entry.others.passed), increase(next.failed, entry.others.failed)});
         entry.others = next;
     }
 }
@@ -133,27 +132,27 @@
 {
     const auto *entry = find(keyOf(version, stratum));
     const auto failed = entry != nullptr ? entry->recentFailed : 0;
-    const auto answers = entry != nullptr ? entry->recentFailed + entry->recentPassed : 0;
-    // A prior that kept its weight would draw the rate of a cheap model, which fails often by design, too low.
-    const auto weight = kPriorWeight * std::max(0.0, 1 - answers / kPriorFade);
-    return (failed + kPriorFailureRate * weight) / (answers + weight);
+    const auto responses = entry != nullptr ? entry->recentFailed + entry->recentPassed : 0;
+    // With a constant weight the prior would make the rate of a cheap model, which fails often by design, too low.
+    const auto weight = kPriorWeight * std::max(0.0, 1 - responses / kPriorFade);
+    return (failed + kPriorFailureRate * weight) / (responses + weight);
 }
 
 double evidence_table::score(std::string_view version) const
 {
-    const auto found = m_verdicts.find(version);
-    return found != m_verdicts.end() ? found->second.score : 0;
+    const auto found = m_tests.find(version);
+    return found != m_tests.end() ? found->second.score : 0;
 }
 
-double evidence_table::scoreNew(counts &entry, std::string_view stratum, std::string_view compared,
-                                bool isOwnPast) const
+double evidence_table::scoreBatch(counts &entry, std::string_view stratum, std::string_view reference,
+                                  bool usesOwnHistory) const
 {
     const auto results = std::exchange(entry.unscored, {});
-    if (isOwnPast && entry.recentPassed + entry.recentFailed < kLeastOwnPast)
+    if (usesOwnHistory && entry.recentPassed + entry.recentFailed < kMinOwnHistory)
         return 0;
     const auto own = entry.recentFailed / std::max(1.0, entry.recentPassed + entry.recentFailed);
-    const auto rate = isOwnPast ? own : failureRate(compared, stratum);
-    const auto good = std::clamp(rate, kLeastGoodRate, kMostGoodRate);
+    const auto rate = usesOwnHistory ? own : failureRate(reference, stratum);
+    const auto good = std::clamp(rate, kMinGoodRate, kMaxGoodRate);
     const auto bad = badRate(good);
     return static_cast<double>(results.failed) * std::log(bad / good)
         - static_cast<double>(results.passed) * std::log((1 - good) / (1 - bad));
@@ -162,31 +161,31 @@
 bool evidence_table::isRejected(const fleet &config, version_handle version) const
 {
     const std::string_view name = config[version].name;
-    auto &verdict = m_verdicts[std::string(name)];
-    if (verdict.rejected)
+    auto &test = m_tests[std::string(name)];
+    if (test.rejected)
         return true;
     const auto baseline = config[version].baseline;
-    const std::string_view compared = baseline.isValid() ? config[baseline].name : name;
+    const std::string_view reference = baseline.isValid() ? config[baseline].name : name;
     double change = 0;
     for (auto item = m_counts.lower_bound(name); item != m_counts.end() && item->first.starts_with(name); ++item) {
         const auto rest = std::string_view(item->first).substr(name.size());
         const bool isStratum = rest.empty() || rest.front() == '/';
         if (isStratum && item->second.unscored.passed + item->second.unscored.failed > 0)
-            change += scoreNew(item->second, rest.empty() ? rest : rest.substr(1), compared, !baseline.isValid());
+            change += scoreBatch(item->second, rest.empty() ? rest : rest.substr(1), reference, !baseline.isValid());
     }
-    verdict.score = std::max(0.0, verdict.score + change);
-    verdict.rejected = verdict.score >= kRejectScore;
-    return verdict.rejected;
+    test.score = std::max(0.0, test.score + change);
+    test.rejected = test.score >= kRejectScore;
+    return test.rejected;
 }
 
-std::uint64_t evidence_table::budgetPart(const fleet &config, version_handle version) const
+std::uint64_t evidence_table::budgetShare(const fleet &config, version_handle version) const
 {
     const std::uint64_t budget = config[version].exposureBudget;
     const auto hosts = std::max<std::uint64_t>(1, config.hosts.size());
     const auto self = config.hostByName(m_host);
     if (!self.isValid())
         return budget / hosts;
-    // The remainder goes to different hosts for each version, so that no host carries every roll-out.
+    // The remainder goes to different hosts for each version, so that no host takes part in every roll-out.
     const auto &name = config[version].name;
     const auto rank = (self.index + XXH64(name.data(), name.size(), 0)) % hosts;
     return budget / hosts + (rank < budget % hosts ? 1 : 0);
@@ -200,17 +199,17 @@
         || (settings.baseline.isValid() && score(settings.name) >= kSuspectScore);
     if (!isLimited)
         return true;
-    const auto part = budgetPart(config, version);
+    const auto share = budgetShare(config, version);
     const auto own = entry != nullptr ? outstanding(entry->local) : 0;
-    if (own < part)
+    if (own < share)
         return true;
     if (!m_totalsAt || now - *m_totalsAt > kTotalsLifetimePeriods * config.tune.exchangePeriod)
         return false;
-    // Half of what the others leave unused: two hosts that borrow before they hear of each other stay within the
-    // budget.
+    // Half of what other hosts leave unused, so that two hosts that borrow before their counts reach each other stay
+    // within the budget.
     const auto othersUse = entry != nullptr ? outstanding(entry->others) : 0;
-    const auto unused = grownBy(settings.exposureBudget, part + othersUse);
-    return own < part + unused / 2;
+    const auto unused = increase(settings.exposureBudget, share + othersUse);
+    return own < share + unused / 2;
 }
 
 } // namespace foxtaildyke
--- a/src/freshness.cpp
+++ b/src/freshness.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// A restarted host waits one lease and a tenth before it asks others; the tenth covers clocks of different speed, as
-/// in the acceptance rule.
+/// A restarted host waits 1.1 leases before its first Recover call; the additional tenth covers clocks that run at
+/// different rates, as in the acceptance rule.
 constexpr int kMarginDivisor = 10;
 
 bool isMajority(std::size_t count, std::size_t of)
@@ -71,7 +71,7 @@
     recordGeneration(generation);
     if (askedAt < earliestRecoverCall() || isRecovering || generation == 0 || host == m_host)
         return !m_recovering;
-    m_recoverAnswers.insert(host);
+    m_recoverResponses.insert(host);
     endRecoveryOnQuorum();
     return !m_recovering;
 }
@@ -80,32 +80,32 @@
 {
     if (!m_recovering || !holdsHighest())
         return;
-    const auto hasAnswered = [this](const std::string &name) {
-        return m_recoverAnswers.contains(name);
+    const auto hasResponded = [this](const std::string &name) {
+        return m_recoverResponses.contains(name);
     };
-    const auto answered = static_cast<std::size_t>(std::ranges::count_if(m_registered, hasAnswered));
-    if (!isMajority(answered, m_registered.size()))
+    const auto responded = static_cast<std::size_t>(std::ranges::count_if(m_registered, hasResponded));
+    if (!isMajority(responded, m_registered.size()))
         return;
     m_recovering = false;
-    m_recoverAnswers.clear();
+    m_recoverResponses.clear();
 }
 
-std::optional<freshness_stamp> freshness::quorumStamp(const std::vector<instant> &vouchedAt) const
+std::optional<freshness_stamp> freshness::quorumStamp(const std::vector<instant> &acknowledgedAt) const
 {
-    if (!holdsHighest() || vouchedAt.size() != m_registered.size())
+    if (!holdsHighest() || acknowledgedAt.size() != m_registered.size())
         return std::nullopt;
-    // The newest majority: its oldest vouch is the one at this position.
+    // With the times sorted newest first, this is the position of the oldest acknowledgement of the newest majority.
     const auto last = m_registered.size() / 2;
-    auto times = vouchedAt;
+    auto times = acknowledgedAt;
     std::ranges::nth_element(times, times.begin() + static_cast<std::ptrdiff_t>(last), std::greater{});
     if (times.empty() || times[last] == kNotAcknowledged)
         return std::nullopt;
     return freshness_stamp{m_generation, times[last]};
 }
 
-bool freshness::isAcknowledgementValid(instant vouchedAt, instant now) const
+bool freshness::isAcknowledged(instant acknowledgedAt, instant now) const
 {
-    return vouchedAt != kNotAcknowledged && now - vouchedAt < m_lease;
+    return acknowledgedAt != kNoVouch && now - acknowledgedAt < m_lease;
 }
 
 instant freshness::leaseEnd() const
--- a/tests/freshness_sim.cpp
+++ b/tests/freshness_sim.cpp
@@ -1,4 +1,4 @@
-// Virtual-time set of hosts, a store and configuration writers; see freshness_sim.h.
+// Virtual-time simulation of hosts, a store and configuration writers; see freshness_sim.h.
 #include "freshness_sim.h"
 
 namespace foxtaildyke::sim
@@ -11,7 +11,7 @@
 constexpr int kLeaseSteps = 2000 / freshness_sim::kStepMs;
 constexpr int kAcceptSteps = kLeaseSteps + kLeaseSteps / 10;
 constexpr int kRequestEverySteps = 4;
-constexpr std::size_t kStoreReaders = 2; ///< hosts that read the store also when they are not recovering
+constexpr std::size_t kStoreReaders = 2; ///< hosts that read the store even when they are not recovering
 
 bool contains(const std::vector<std::string> &names, const std::string &name)
 {
@@ -64,7 +64,7 @@
 
 int freshness_sim::delay()
 {
-    // Mostly short; now and then a message is on the way for up to 4 s, twice the lease.
+    // Mostly short; one message in eight takes up to 4 s, twice the lease.
     return m_random() % 8 == 0 ? static_cast<int>(m_random() % 80) : static_cast<int>(m_random() % 2);
 }
 
@@ -85,12 +85,12 @@
         return;
     host.state->adopt(generation, m_store[generation].hosts, kLease);
     if (host.state->generation() < host.highest)
-        fail("a generation went down");
+        fail("the generation of a host decreased");
     host.highest = host.state->generation();
-    if (host.vouchedGeneration == host.highest)
+    if (host.acknowledgedGeneration == host.highest)
         return;
-    host.vouched.clear();
-    host.vouchedGeneration = host.highest;
+    host.acknowledgedAt.clear();
+    host.acknowledgedGeneration = host.highest;
 }
 
 void freshness_sim::readStore(std::size_t index)
@@ -98,7 +98,7 @@
     if (isActive(fault_kind::cutStore, index) || isActive(fault_kind::outage, index))
         return;
     const auto &host = m_hosts[index];
-    m_replies.push_back({m_step + delay(), index, host.incarnation, m_store.size() - 1, clockOf(host)});
+    m_storeResponses.push_back({m_step + delay(), index, host.incarnation, m_store.size() - 1, clockOf(host)});
 }
 
 void freshness_sim::sendRequests(std::size_t index)
@@ -113,72 +113,72 @@
         request.to = to;
         request.fromIncarnation = host.incarnation;
         request.generation = host.state->generation();
-        request.isVouch = host.state->mayAcknowledge();
+        request.isAcknowledgement = host.state->mayVouch();
         request.echoed = host.echo[m_hosts[to].name];
         request.sentAt = clockOf(host);
         m_messages.push_back(request);
     }
 }
 
-void freshness_sim::receive(const message &text)
+void freshness_sim::receive(const message &incoming)
 {
-    auto &host = m_hosts[text.to];
-    adopt(host, text.generation);
-    if (text.isReply)
-        takeReply(text);
+    auto &host = m_hosts[incoming.to];
+    adopt(host, incoming.generation);
+    if (incoming.isResponse)
+        handleResponse(incoming);
     else
-        answer(text);
+        handleRequest(incoming);
 }
 
-void freshness_sim::answer(const message &request)
+void freshness_sim::handleRequest(const message &request)
 {
     auto &host = m_hosts[request.to];
-    const auto &asker = m_hosts[request.from];
-    const bool echoIsOwn = request.echoed != instant{} && host.issued[asker.name] == request.echoed;
-    if (request.isVouch && echoIsOwn && request.generation == host.state->generation()) {
-        auto &vouched = host.vouched.try_emplace(asker.name, kNotAcknowledged).first->second;
-        vouched = std::max(vouched, request.echoed);
+    const auto &caller = m_hosts[request.from];
+    const bool echoIsOwn = request.echoed != instant{} && host.issued[caller.name] == request.echoed;
+    if (request.isAcknowledgement && echoIsOwn && request.generation == host.state->generation()) {
+        auto &acknowledgedAt = host.acknowledgedAt.try_emplace(caller.name, kNoVouch).first->second;
+        acknowledgedAt = std::max(acknowledgedAt, request.echoed);
     }
-    host.issued[asker.name] = clockOf(host);
+    host.issued[caller.name] = clockOf(host);
     if (isCut(request.from, request.to))
         return;
-    message reply;
-    reply.deliverAt = m_step + delay();
-    reply.from = request.to;
-    reply.to = request.from;
-    reply.toIncarnation = request.fromIncarnation;
-    reply.isReply = true;
-    reply.generation = host.state->generation();
-    reply.recovering = host.state->isRecovering();
-    reply.clock = clockOf(host);
-    reply.sentAt = request.sentAt;
+    message response;
+    response.deliverAt = m_step + delay();
+    response.from = request.to;
+    response.to = request.from;
+    response.toIncarnation = request.fromIncarnation;
+    response.isResponse = true;
+    response.generation = host.state->generation();
+    response.recovering = host.state->isRecovering();
+    response.clock = clockOf(host);
+    response.sentAt = request.sentAt;
     const auto &stamp = host.state->currentStamp();
     if (stamp.generation != 0 && stamp.generation == host.state->generation())
-        reply.stamp = freshness_stamp{stamp.generation, clockOf(host) - stamp.currentAt};
-    m_messages.push_back(reply);
+        response.stamp = freshness_stamp{stamp.generation, clockOf(host) - stamp.currentAt};
+    m_messages.push_back(response);
 }
 
-void freshness_sim::takeReply(const message &reply)
+void freshness_sim::handleResponse(const message &response)
 {
-    auto &host = m_hosts[reply.to];
-    const auto &peer = m_hosts[reply.from].name;
-    host.echo[peer] = reply.clock;
-    if (reply.stamp)
-        host.state->stamp({reply.stamp->generation, reply.sentAt - reply.stamp->currentAt});
+    auto &host = m_hosts[response.to];
+    const auto &peer = m_hosts[response.from].name;
+    host.echo[peer] = response.clock;
+    if (response.stamp)
+        host.state->stamp({response.stamp->generation, response.sentAt - response.stamp->currentAt});
     const bool wasRecovering = host.state->isRecovering();
-    if (host.state->recordRecoverResponse(peer, reply.recovering, reply.generation, reply.sentAt) && wasRecovering)
+    if (host.state->recoverAnswer(peer, response.recovering, response.generation, response.sentAt) && wasRecovering)
         ++m_quorumRecoveries;
 }
 
 void freshness_sim::applyStamps(sim_host &host)
 {
-    if (host.state->mayAcknowledge())
-        host.vouched[host.name] = clockOf(host);
+    if (host.state->mayVouch())
+        host.acknowledgedAt[host.name] = clockOf(host);
     std::vector<instant> times;
     if (host.state->generation() == 0)
         return;
     for (const auto &name : m_store[host.state->generation()].hosts)
-        times.push_back(host.vouched.contains(name) ? host.vouched[name] : kNotAcknowledged);
+        times.push_back(host.acknowledgedAt.contains(name) ? host.acknowledgedAt[name] : kNoVouch);
     const auto stamp = host.state->quorumStamp(times);
     if (!stamp)
         return;
@@ -189,27 +189,27 @@
 
 void freshness_sim::deliver()
 {
-    const auto due = [this](const message &text) {
-        return text.deliverAt <= m_step && !isActive(fault_kind::pause, text.to);
+    const auto due = [this](const message &incoming) {
+        return incoming.deliverAt <= m_step && !isActive(fault_kind::pause, incoming.to);
     };
     std::vector<message> now;
     std::ranges::copy_if(m_messages, std::back_inserter(now), due);
     std::erase_if(m_messages, due);
-    for (const auto &text : now)
-        if (text.toIncarnation == 0 || text.toIncarnation == m_hosts[text.to].incarnation)
-            receive(text);
-    const auto isDue = [this](const store_reply &reply) {
-        return reply.deliverAt <= m_step && !isActive(fault_kind::pause, reply.host);
+    for (const auto &incoming : now)
+        if (incoming.toIncarnation == 0 || incoming.toIncarnation == m_hosts[incoming.to].incarnation)
+            receive(incoming);
+    const auto isDue = [this](const store_response &response) {
+        return response.deliverAt <= m_step && !isActive(fault_kind::pause, response.host);
     };
-    std::vector<store_reply> replies;
-    std::ranges::copy_if(m_replies, std::back_inserter(replies), isDue);
-    std::erase_if(m_replies, isDue);
-    for (const auto &reply : replies) {
-        auto &host = m_hosts[reply.host];
-        if (reply.incarnation != host.incarnation)
+    std::vector<store_response> responses;
+    std::ranges::copy_if(m_storeResponses, std::back_inserter(responses), isDue);
+    std::erase_if(m_storeResponses, isDue);
+    for (const auto &response : responses) {
+        auto &host = m_hosts[response.host];
+        if (response.incarnation != host.incarnation)
             continue;
-        adopt(host, reply.generation);
-        host.state->recordStoreRead(reply.generation, reply.readStarted);
+        adopt(host, response.generation);
+        host.state->storeRead(response.generation, response.readStarted);
     }
 }
 
@@ -244,8 +244,8 @@
 {
     const auto &host = m_hosts[observer];
     std::vector<std::string> names;
-    for (const auto &[name, at] : host.vouched)
-        if (host.state->isAcknowledgementValid(at, clockOf(host)))
+    for (const auto &[name, at] : host.acknowledgedAt)
+        if (host.state->isAcknowledged(at, clockOf(host)))
             names.push_back(name);
     return names;
 }
@@ -253,8 +253,8 @@
 bool freshness_sim::majorityHolds(generation_number generation) const
 {
     for (std::size_t i = 0; i < m_hosts.size(); ++i) {
-        const auto held = m_hosts[i].state->generation();
-        if (held >= generation && isMajority(acknowledgedBy(i), m_store[held].hosts))
+        const auto current = m_hosts[i].state->generation();
+        if (current >= generation && isMajority(acknowledgedBy(i), m_store[current].hosts))
             return true;
     }
     return false;
@@ -263,7 +263,7 @@
 std::vector<std::string> freshness_sim::nextHosts(generation_number base)
 {
     auto hosts = m_store[base].hosts;
-    // One host at a time, and only after a majority holds the generation before.
+    // One host at a time, and only after a majority has adopted the previous generation.
     if (m_random() % 3 != 0 || !majorityHolds(base))
         return hosts;
     const auto name = m_hosts[m_random() % m_hosts.size()].name;
@@ -283,14 +283,14 @@
     switch (state.now) {
     case writer::phase::idle:
         state.base = m_store.size() - 1;
-        state.now = writer::phase::deciding;
+        state.now = writer::phase::writing;
         state.next = m_step + static_cast<int>(m_random() % 10);
         break;
-    case writer::phase::deciding:
-        decide(state);
+    case writer::phase::writing:
+        tryWrite(state);
         break;
-    case writer::phase::doubtful:
-        settle(state);
+    case writer::phase::unconfirmed:
+        resolveWrite(state);
         break;
     case writer::phase::waiting:
         checkAccepted(state);
@@ -298,26 +298,26 @@
     }
 }
 
-void freshness_sim::decide(writer &state)
+void freshness_sim::tryWrite(writer &state)
 {
     state.now = writer::phase::idle;
     const auto hosts = nextHosts(state.base);
-    // Conditional update: another writer may have been faster.
+    // Conditional update: another writer may have written in the meantime.
     if (state.base != m_store.size() - 1)
         return;
     state.changeId = std::to_string(m_random());
     state.written = state.base + 1;
     state.majorityAt = -1;
     if (m_random() % 8 == 0) { // the request is lost
-        state.now = writer::phase::doubtful;
+        state.now = writer::phase::unconfirmed;
         return;
     }
     m_store.push_back({state.changeId, hosts});
-    // The answer is lost now and then.
-    state.now = m_random() % 8 == 0 ? writer::phase::doubtful : writer::phase::waiting;
+    // One response in eight is lost.
+    state.now = m_random() % 8 == 0 ? writer::phase::unconfirmed : writer::phase::waiting;
 }
 
-void freshness_sim::settle(writer &state)
+void freshness_sim::resolveWrite(writer &state)
 {
     const bool isOurs = state.written < m_store.size() && m_store[state.written].changeId == state.changeId;
     state.now = isOurs ? writer::phase::waiting : writer::phase::idle;
@@ -325,18 +325,18 @@
 
 void freshness_sim::checkAccepted(writer &state)
 {
-    // Asks a random host for its table, as the control process does with Status.
+    // Reads the acknowledgements known to a random host, as the control process does with a Status call.
     const auto observer = m_random() % m_hosts.size();
-    const auto held = m_hosts[observer].state->generation();
-    if (held >= state.written && !isActive(fault_kind::pause, observer)) {
+    const auto current = m_hosts[observer].state->generation();
+    if (current >= state.written && !isActive(fault_kind::pause, observer)) {
         const auto acknowledged = acknowledgedBy(observer);
         // A host that was removed since the last accepted generation may still have a lease.
         std::vector<std::string> mayHoldLease;
-        for (auto g = std::max<generation_number>(m_accepted, 1); g <= held; ++g)
+        for (auto g = std::max<generation_number>(m_accepted, 1); g <= current; ++g)
             std::ranges::copy(m_store[g].hosts, std::back_inserter(mayHoldLease));
         const bool all =
             std::ranges::all_of(mayHoldLease, [&](const auto &name) { return contains(acknowledged, name); });
-        if (state.majorityAt < 0 && isMajority(acknowledged, m_store[held].hosts))
+        if (state.majorityAt < 0 && isMajority(acknowledged, m_store[current].hosts))
             state.majorityAt = m_step;
         if (!all && (state.majorityAt < 0 || m_step < state.majorityAt + kAcceptSteps))
             return;
--- a/tests/freshness_sim.h
+++ b/tests/freshness_sim.h
@@ -1,5 +1,5 @@
-// Virtual-time set of hosts, a store and configuration writers, to test the freshness rules under random faults.
-// Hosts exchange vouches in pairs; the relay tree is not part of it.
+// Virtual-time simulation of hosts, a store and configuration writers, to test the freshness rules under random faults.
+// Hosts exchange acknowledgements in pairs; the relay tree is not simulated.
 #pragma once
 
 #include "freshness_p.h"
@@ -13,9 +13,9 @@
 enum class fault_kind : std::uint8_t {
     partition, ///< messages between the hosts of the set and the others are lost
     cutStore, ///< the hosts of the set cannot reach the store
-    pause, ///< the hosts of the set stand still; messages wait for them
-    restart, ///< the hosts of the set are down for this time, and forget everything
-    outage, ///< nobody reaches the store
+    pause, ///< the hosts of the set are suspended; messages to them are delivered afterwards
+    restart, ///< the hosts of the set are down for this time and lose their state
+    outage, ///< no host reaches the store
     count
 };
 
@@ -27,13 +27,13 @@
     [[nodiscard]] bool affects(std::size_t host) const { return (hosts >> host & 1U) != 0; }
 };
 
-/// One generation as written.
+/// One generation as written to the store.
 struct sim_config {
     std::string changeId;
     std::vector<std::string> hosts;
 };
 
-/// Result of one run: the first broken rule, or empty.
+/// Runs the hosts and writers step by step and checks the freshness rules at each step.
 class freshness_sim
 {
 public:
@@ -42,7 +42,7 @@
 
     freshness_sim(std::size_t hosts, std::uint32_t seed, std::vector<fault> faults);
 
-    /// @returns what went wrong first, or an empty text.
+    /// @returns the first violated rule, or an empty string.
     [[nodiscard]] std::string run();
 
     [[nodiscard]] std::size_t acceptedChanges() const { return m_acceptedCount; }
@@ -53,11 +53,11 @@
 private:
     struct sim_host {
         std::string name;
-        instant clockOffset{}; ///< clocks of hosts differ, and a restart sets a new one
+        instant clockOffset{}; ///< clocks of hosts differ, and a restart sets a new offset
         std::uint32_t incarnation = 0;
         std::unique_ptr<freshness> state;
-        std::map<std::string, instant> vouched; ///< by host, for the held generation
-        generation_number vouchedGeneration = 0;
+        std::map<std::string, instant> acknowledgedAt; ///< by host, for the adopted generation
+        generation_number acknowledgedGeneration = 0;
         std::map<std::string, instant> issued; ///< clock value last sent to each host
         std::map<std::string, instant> echo; ///< clock value last received from each host
         generation_number highest = 0; ///< since the restart
@@ -67,17 +67,17 @@
         std::size_t from = 0;
         std::size_t to = 0;
         std::uint32_t fromIncarnation = 0;
-        std::uint32_t toIncarnation = 0; ///< of a reply: a restarted host gets no replies to its earlier calls
-        bool isReply = false;
+        std::uint32_t toIncarnation = 0; ///< of a response: a restarted host gets no responses to its earlier calls
+        bool isResponse = false;
         generation_number generation = 0;
         bool recovering = false;
-        bool isVouch = false;
+        bool isAcknowledgement = false;
         instant echoed{};
         instant clock{};
-        instant sentAt{}; ///< of the request, on the asker's clock
-        std::optional<freshness_stamp> stamp; ///< currentAt holds the age
+        instant sentAt{}; ///< of the request, on the caller's clock
+        std::optional<freshness_stamp> stamp; ///< currentAt is its age
     };
-    struct store_reply {
+    struct store_response {
         int deliverAt = 0;
         std::size_t host = 0;
         std::uint32_t incarnation = 0;
@@ -85,7 +85,7 @@
         instant readStarted{};
     };
     struct writer {
-        enum class phase : std::uint8_t { idle, deciding, doubtful, waiting } now = phase::idle;
+        enum class phase : std::uint8_t { idle, writing, unconfirmed, waiting } now = phase::idle;
         int next = 0;
         generation_number base = 0;
         generation_number written = 0;
@@ -101,15 +101,15 @@
     void adopt(sim_host &host, generation_number generation);
     void readStore(std::size_t index);
     void sendRequests(std::size_t index);
-    void receive(const message &text);
-    void answer(const message &request);
-    void takeReply(const message &reply);
+    void receive(const message &incoming);
+    void handleRequest(const message &request);
+    void handleResponse(const message &response);
     void applyStamps(sim_host &host);
     void deliver();
     void stepHost(std::size_t index);
     void stepWriter(writer &state);
-    void decide(writer &state);
-    void settle(writer &state);
+    void tryWrite(writer &state);
+    void resolveWrite(writer &state);
     void checkAccepted(writer &state);
     [[nodiscard]] std::vector<std::string> acknowledgedBy(std::size_t observer) const;
     [[nodiscard]] bool majorityHolds(generation_number generation) const;
@@ -121,9 +121,9 @@
     std::vector<sim_host> m_hosts;
     std::vector<sim_config> m_store; ///< index is the generation; entry 0 is unused
     std::vector<message> m_messages;
-    std::vector<store_reply> m_replies;
+    std::vector<store_response> m_storeResponses;
     std::vector<writer> m_writers;
-    generation_number m_accepted = 0; ///< highest reported as accepted
+    generation_number m_accepted = 0; ///< highest generation reported as accepted
     std::map<generation_number, std::string> m_acceptedIds;
     std::size_t m_acceptedCount = 0;
     std::size_t m_dispatches = 0;
--- a/tests/test_evidence.cpp
+++ b/tests/test_evidence.cpp
@@ -1,5 +1,5 @@
-// Evidence against bad versions: late detection exposes callers, a false halt stops a good roll-out, and a result that
-// counts twice makes both wrong.
+// Tests the detection of bad versions: late detection exposes callers to a bad version, a false halt stops a good
+// roll-out, and results counted twice cause false halts.
 #include "evidence_p.h"
 
 #include <doctest/doctest.h>
@@ -28,13 +28,14 @@
     return config;
 }
 
-struct coin {
+struct rating_source {
     std::mt19937_64 random;
     bool passes(double failureRate) { return std::uniform_real_distribution<double>()(random) >= failureRate; }
 };
 
-/// Feeds rated answers until the version is rejected. @returns how many it took, at most `limit`.
-int answersUntilRejected(evidence_table &table, const fleet &config, coin &source, double failureRate, int limit)
+/// Records rated responses until the version is rejected. @returns the number of responses, at most `limit`.
+int responsesUntilRejected(evidence_table &table, const fleet &config, rating_source &source, double failureRate,
+                           int limit)
 {
     for (int i = 0; i < limit; ++i) {
         table.recordResult("swift-2", source.passes(failureRate));
@@ -44,7 +45,7 @@
     return limit;
 }
 
-evidence_table withBaseline(coin &source, double failureRate)
+evidence_table withBaseline(rating_source &source, double failureRate)
 {
     evidence_table table;
     for (int i = 0; i < 1000; ++i)
@@ -54,19 +55,19 @@
 
 } // namespace
 
-TEST_CASE("evidence rejects a bad version within 20 answers on average, early and late")
+TEST_CASE("evidence rejects a bad version within 20 responses on average, early and late")
 {
-    // Guards against a score that good answers of the past can hold down.
+    // Guards against a score that good responses of the past keep low.
     const auto config = rolloutFleet(9);
     for (const int goodBefore : {0, 1000}) {
-        coin source{std::mt19937_64{11}};
+        rating_source source{std::mt19937_64{11}};
         int sum = 0;
         for (int run = 0; run < 200; ++run) {
             auto table = withBaseline(source, 0.05);
             for (int i = 0; i < goodBefore; ++i)
                 table.recordResult("swift-2", source.passes(0.05));
             CHECK_FALSE(table.isRejected(config, kNew));
-            sum += answersUntilRejected(table, config, source, 0.5, 400);
+            sum += responsesUntilRejected(table, config, source, 0.5, 400);
         }
         CHECK(sum <= 200 * 20);
     }
@@ -74,70 +75,71 @@
 
 TEST_CASE("evidence halts at most 3 in 1000 roll-outs of a good version")
 {
-    // A roll-out is 2000 rated answers at the baseline's failure rate.
+    // A roll-out consists of 2000 rated responses at the baseline's failure rate.
     const auto config = rolloutFleet(9);
-    coin source{std::mt19937_64{12}};
+    rating_source source{std::mt19937_64{12}};
     int halts = 0;
     for (int run = 0; run < 1000; ++run) {
         auto table = withBaseline(source, 0.05);
-        halts += answersUntilRejected(table, config, source, 0.05, 2001) <= 2000 ? 1 : 0;
+        halts += responsesUntilRejected(table, config, source, 0.05, 2001) <= 2000 ? 1 : 0;
     }
     CHECK(halts <= 3);
 }
 
 TEST_CASE("evidence compares with the measured rate of the baseline")
 {
-    // With a constant rate a version as weak as its baseline would be halted.
+    // With a constant reference rate, a version that is as weak as its baseline would be halted.
     const auto config = rolloutFleet(1);
-    coin source{std::mt19937_64{13}};
+    rating_source source{std::mt19937_64{13}};
     auto table = withBaseline(source, 0.25);
-    CHECK(answersUntilRejected(table, config, source, 0.25, 300) == 300);
+    CHECK(responsesUntilRejected(table, config, source, 0.25, 300) == 300);
     CHECK(table.failureRate("swift-1") == doctest::Approx(0.25).epsilon(0.2));
 }
 
-TEST_CASE("evidence compares like with like")
+TEST_CASE("evidence compares failure rates within one stratum")
 {
-    // A cascade that starts to send a strong model only what weaker ones failed, or a burst of a harder kind, would
-    // otherwise halt a good version.
+    // Otherwise a cascade that starts to send a strong model only the requests that weaker ones failed, or a burst of
+    // harder requests, would halt a good version.
     const auto config = rolloutFleet(1);
-    coin source{std::mt19937_64{14}};
+    rating_source source{std::mt19937_64{14}};
     evidence_table table;
-    const auto note = [&](std::string_view version, std::string_view stratum, double rate, int answers) {
+    const auto record = [&](std::string_view version, std::string_view stratum, double rate, int responses) {
         bool rejected = false;
-        for (int i = 0; i < answers; ++i) {
-            table.recordResult(version, source.passes(rate), stratum);
+        for (int i = 0; i < responses; ++i) {
+            table.noteResult(version, source.passes(rate), stratum);
             rejected = table.isRejected(config, kNew) || table.isRejected(config, kOld) || rejected;
         }
         return rejected;
     };
-    CHECK_FALSE(note("swift-1", "page-tag", 0.04, 500));
-    CHECK_FALSE(note("swift-1", "page-tag/escalated", 0.4, 200));
-    CHECK_FALSE(note("swift-1", "appeal-draft", 0.8, 500));
-    CHECK_FALSE(note("swift-2", "page-tag", 0.04, 300));
-    CHECK_FALSE(note("swift-2", "appeal-draft", 0.8, 300));
-    CHECK(note("swift-2", "page-tag", 0.5, 60));
+    CHECK_FALSE(record("swift-1", "page-tag", 0.04, 500));
+    CHECK_FALSE(record("swift-1", "page-tag/escalated", 0.4, 200));
+    CHECK_FALSE(record("swift-1", "appeal-draft", 0.8, 500));
+    CHECK_FALSE(record("swift-2", "page-tag", 0.04, 300));
+    CHECK_FALSE(record("swift-2", "appeal-draft", 0.8, 300));
+    CHECK(record("swift-2", "page-tag", 0.5, 60));
     CHECK_FALSE(table.isRejected(config, kOld));
 }
 
-TEST_CASE("evidence compares a version without a baseline with its own past")
+TEST_CASE("evidence compares a version without a baseline with its own history")
 {
-    // The first version of a cheap model fails many requests by design; it must serve, and still be found to turn bad.
+    // The first version of a cheap model fails many requests by design. It must be allowed to serve, but be rejected if
+    // its failure rate rises.
     const auto config = rolloutFleet(1);
-    coin source{std::mt19937_64{15}};
+    rating_source source{std::mt19937_64{15}};
     evidence_table table;
     for (int i = 0; i < 1000; ++i) {
         table.recordResult("swift-1", source.passes(0.3));
         REQUIRE_FALSE(table.isRejected(config, kOld));
     }
-    int taken = 0;
-    for (; taken < 300 && !table.isRejected(config, kOld); ++taken)
-        table.recordResult("swift-1", source.passes(0.9));
-    CHECK(taken < 60);
+    int responses = 0;
+    for (; responses < 300 && !table.isRejected(config, kOld); ++responses)
+        table.noteResult("swift-1", source.passes(0.9));
+    CHECK(responses < 60);
 }
 
 TEST_CASE("evidence of several hosts counts each result once")
 {
-    // The relay's totals hold this host's own deltas as well; counted twice they would halve the evidence needed.
+    // The relay's totals include this host's own deltas; counted twice, they would halve the evidence needed.
     const auto config = rolloutFleet(2);
     evidence_table one("h0");
     evidence_table all("h0");
@@ -155,7 +157,7 @@
     CHECK(one.score("swift-2") == doctest::Approx(all.score("swift-2")));
 }
 
-TEST_CASE("evidence keeps a rejection, and takes a restarted relay's smaller totals as a new start")
+TEST_CASE("evidence keeps a rejection, and treats smaller totals of a restarted relay as a new base")
 {
     const auto config = rolloutFleet(2);
     evidence_table table("h0");
@@ -173,7 +175,7 @@
 
 TEST_CASE("the exposure budget of all hosts is kept without the relay")
 {
-    // Cut-off hosts that each used the whole budget would expose callers to it once per host.
+    // If each disconnected host used the whole budget, callers would be exposed to it once per host.
     const auto config = rolloutFleet(9);
     std::uint32_t exposed = 0;
     for (const auto &host : config.hosts) {
@@ -190,22 +192,22 @@
 {
     const auto config = rolloutFleet(4);
     evidence_table table("h0");
-    const auto take = [&](instant now) {
-        int taken = 0;
-        for (; table.hasExposureLeft(config, kNew, now) && taken < 100; ++taken)
-            table.recordDispatch("swift-2");
-        return taken;
+    const auto dispatchAttempts = [&](instant now) {
+        int count = 0;
+        for (; table.hasExposureLeft(config, kNew, now) && count < 100; ++count)
+            table.noteDispatch("swift-2");
+        return count;
     };
-    CHECK(take(instant{0}) == 2);
+    CHECK(dispatchAttempts(instant{0}) == 2);
     table.setTotals({{"swift-2", 0, 0, 2, 0}}, instant{1000});
-    CHECK(take(instant{1000}) == 2);
-    table.recordResult("swift-2", std::nullopt);
-    CHECK(take(instant{60'000'000}) == 0);
+    CHECK(dispatchAttempts(instant{1000}) == 2);
+    table.noteResult("swift-2", std::nullopt);
+    CHECK(dispatchAttempts(instant{60'000'000}) == 0);
 }
 
 TEST_CASE("a suspected version is limited to its exposure budget before it is rejected")
 {
-    // Without this an active version that turns bad goes on at its full rate until the test is sure.
+    // Without this limit an active version that turns bad would serve at its full rate until the test rejects it.
     auto config = rolloutFleet(1);
     config.versions[1].state = version_state::active;
     evidence_table table("h0");
--- a/tests/test_freshness.cpp
+++ b/tests/test_freshness.cpp
@@ -1,4 +1,4 @@
-// Rules of section 5 of docs/design.md, one by one: a host must never dispatch under an outdated configuration.
+// Tests each rule of section 5 of docs/design.md: a host must never dispatch under an outdated configuration.
 #include "freshness_p.h"
 
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("freshness: a generation never goes down")
+TEST_CASE("freshness: the generation never decreases")
 {
     auto state = readyHost();
     CHECK_FALSE(state.adopt(4, kHosts, kLease));
@@ -33,7 +33,7 @@
     CHECK(state.leaseEnd() == 14s);
 }
 
-TEST_CASE("freshness: a lease by a store read starts when the read began and ends after the lease time")
+TEST_CASE("freshness: a lease from a store read starts when the read began and ends after the lease time")
 {
     const auto state = readyHost();
     CHECK(state.mayDispatch(14s - 1us));
@@ -50,7 +50,7 @@
     CHECK(state.mayDispatch(14s));
 }
 
-TEST_CASE("freshness: a host that knows a higher generation neither vouches nor dispatches under a lower one")
+TEST_CASE("freshness: a host that knows a higher generation neither acknowledges nor dispatches under a lower one")
 {
     auto state = readyHost();
     state.recordGeneration(6);
@@ -59,7 +59,8 @@
     CHECK_FALSE(state.quorumStamp({11s, 11s, 11s, 11s, 11s}).has_value());
 }
 
-TEST_CASE("freshness: a quorum needs vouches of more than half and is dated by the oldest vouch of the newest majority")
+TEST_CASE("freshness: a quorum stamp needs more than half of the hosts and has the time of the oldest acknowledgement "
+          "in the newest majority")
 {
     const auto state = readyHost();
     CHECK_FALSE(state.quorumStamp({12s, 11s, kNotAcknowledged, kNotAcknowledged, kNotAcknowledged}).has_value());
@@ -79,7 +80,7 @@
     CHECK(state.quorumStamp({1s, 1s, 1s, kNotAcknowledged}).has_value());
 }
 
-TEST_CASE("freshness: a recovering host neither vouches nor dispatches, also with a fresh stamp")
+TEST_CASE("freshness: a recovering host neither acknowledges nor dispatches, even with a fresh stamp")
 {
     freshness state("a", 0s);
     state.adopt(5, kHosts, kLease);
@@ -90,7 +91,7 @@
     CHECK(state.mayDispatch(10s));
 }
 
-TEST_CASE("freshness: recovery by answers needs more than half, without itself and without recovering hosts")
+TEST_CASE("freshness: recovery by quorum needs more than half of the hosts, not counting itself and recovering hosts")
 {
     freshness state("a", 0s);
     state.adopt(5, kHosts, kLease);
@@ -104,7 +105,7 @@
     CHECK(state.mayAcknowledge());
 }
 
-TEST_CASE("freshness: recovery by answers waits for the highest generation among the answers")
+TEST_CASE("freshness: recovery by quorum waits for the highest generation among the responses")
 {
     freshness state("a", 0s);
     state.adopt(5, kHosts, kLease);
@@ -115,7 +116,7 @@
     CHECK_FALSE(state.isRecovering());
 }
 
-TEST_CASE("freshness: answers to calls made sooner than a lease and a tenth after the start are not counted")
+TEST_CASE("freshness: responses to calls made earlier than 1.1 leases after the start are not counted")
 {
     freshness state("a", 100s);
     state.adopt(5, kHosts, kLease);
@@ -125,7 +126,7 @@
     CHECK(state.isRecovering());
 }
 
-TEST_CASE("freshness: an acknowledgement expires with the lease, as the host may have forgotten it")
+TEST_CASE("freshness: an acknowledgement expires with the lease, as the host may have lost it in a restart")
 {
     const auto state = readyHost();
     CHECK(state.isAcknowledgementValid(10s, 13999ms));
@@ -133,7 +134,7 @@
     CHECK_FALSE(state.isAcknowledgementValid(kNotAcknowledged, 14s));
 }
 
-TEST_CASE("freshness: a host that is not registered never dispatches and never vouches")
+TEST_CASE("freshness: a host that is not registered never dispatches and never acknowledges")
 {
     freshness state("z", 0s);
     state.adopt(5, kHosts, kLease);
--- a/tests/test_freshness_sim.cpp
+++ b/tests/test_freshness_sim.cpp
@@ -1,5 +1,5 @@
-// The freshness rules under random faults; see freshness_sim.h. Guards against a host that dispatches under a
-// withdrawn configuration, a generation that goes down, and an accepted change that is lost.
+// Tests the freshness rules under random faults; see freshness_sim.h. Guards against a host that dispatches under a
+// withdrawn configuration, a generation that decreases, and an accepted change that is lost.
 #include "freshness_sim.h"
 
 #include <doctest/doctest.h>
@@ -11,8 +11,9 @@
 namespace
 {
 
-/// A boundary between two parts of the hosts that moves by one host at a time, while only host 0 reaches the store; the
-/// host that changes sides restarts or not. Finds what goes wrong when a host forgets what it had acknowledged.
+/// Two partitions of the hosts whose boundary moves by one host at a time, while only host 0 reaches the store. The
+/// host that changes sides may restart. Detects violations caused by a host that loses its acknowledgements in a
+/// restart.
 std::vector<fault> movingBoundary(std::mt19937 &random)
 {
     const auto below = [&random](int limit) {
@@ -36,8 +37,9 @@
     return faults;
 }
 
-/// Random faults from one seed: episodes in which a part of the hosts is cut off from the others, and from the store or
-/// not, while some hosts restart or pause. Single faults hardly ever meet in the ways that break a rule.
+/// Random faults from one seed: episodes in which some hosts are cut off from the others, with or without access to the
+/// store, while other hosts restart or pause. Independent single faults hardly ever combine in a way that violates a
+/// rule.
 std::vector<fault> randomFaults(std::uint32_t seed)
 {
     std::mt19937 random(seed);
@@ -94,7 +96,7 @@
     CHECK(outcome.is<rc::detail::SuccessResult>());
     MESSAGE("accepted changes ", accepted, ", dispatch steps ", dispatches, ", leases by quorum ", quorumLeases,
             ", recoveries by quorum ", quorumRecoveries);
-    // The run means something only if the paths under test were taken.
+    // The result is only valid if the tested paths were executed.
     CHECK(accepted > 100);
     CHECK(quorumLeases > 100);
     CHECK(quorumRecoveries > 10);
