--- a/src/load_aggregator.cpp
+++ b/src/load_aggregator.cpp
@@ -1,4 +1,4 @@
-// Sums of the hosts' loads; see load_aggregator_p.h.
+// Sums of outstanding requests over hosts; see load_aggregator_p.h.
 #include "load_aggregator_p.h"
 
 namespace foxtaildyke
--- a/src/model_cascade.cpp
+++ b/src/model_cascade.cpp
@@ -1,4 +1,4 @@
-// Choice of the model; see model_cascade_p.h.
+// Selection of the model; see model_cascade_p.h.
 #include "model_cascade_p.h"
 
 namespace foxtaildyke
@@ -6,7 +6,7 @@
 
 std::size_t firstModel(const cascade_settings &settings, const cascade_step &step)
 {
-    // One send leaves no second try, so the answer must be good at once.
+    // With a single send there is no escalation, so the first response must be good.
     const bool canEscalate = step.maxSends > 1;
     return settings.startsSmall && canEscalate ? 0 : step.models - 1;
 }
