--- a/tests/test_fleets.cpp
+++ b/tests/test_fleets.cpp
@@ -1,4 +1,4 @@
-// Small configurations of the two deployments for tests of the decision core.
+// Small configurations of the two deployments, for tests of the decision core.
 #include "core_simulation_p.h"
 
 namespace foxtaildyke::test
--- a/tests/test_gateway_decisions.cpp
+++ b/tests/test_gateway_decisions.cpp
@@ -1,5 +1,5 @@
-// Decisions of the gateway that need neither a network nor a clock: what follows an attempt, the retry budget, placing,
-// the model, roll-outs, and which replicas hold.
+// Gateway decisions that need neither network nor clock: next step after an attempt, retry budget, replica selection,
+// model selection, roll-outs, and retained registry entries.
 #include "attempt_rules_p.h"
 #include "event_splitter_p.h"
 #include "gateway_settings_p.h"
@@ -56,15 +56,15 @@
     return {"s", "v2", 20s, state, stage, 5, 3};
 }
 
-version_response makeAnswer(std::string_view version, std::string_view replica, bool isFailure,
-                            std::chrono::microseconds latency = 10ms)
+version_response makeResponse(std::string_view version, std::string_view replica, bool isFailure,
+                              std::chrono::microseconds latency = 10ms)
 {
     return {"s", version, "route", replica, isFailure, latency};
 }
 
 } // namespace
 
-TEST_CASE("attempt rules: what follows each end of an attempt")
+TEST_CASE("attempt rules: next step after each result of an attempt")
 {
     using result = attempt_result;
     CHECK(nextStepAfter(makeFacts(result::answered, false, true)) == next_step::pass_on);
@@ -77,7 +77,7 @@
     auto last = makeFacts(result::not_run, false, false);
     last.sends = last.maxSends;
     CHECK(nextStepAfter(last) == next_step::refuse);
-    last.mayHaveRun = true; // an attempt before this one may have run
+    last.mayHaveRun = true; // an earlier attempt may have run
     CHECK(nextStepAfter(last) == next_step::fail);
 
     auto begun = makeFacts(result::broken, true, true);
@@ -91,7 +91,7 @@
     CHECK(nextStepAfter(late) == next_step::fail);
 }
 
-TEST_CASE("attempt rules: no state promises that a request has not run which may have run")
+TEST_CASE("attempt rules: a request that may have run is never refused as not run")
 {
     for (int result = 0; result < static_cast<int>(attempt_result::count); ++result)
         for (const bool mayRetry : {false, true})
@@ -102,26 +102,26 @@
             }
 }
 
-TEST_CASE("retry budget: the sum over hosts keeps the bound whatever share of the requests each takes")
+TEST_CASE("retry budget: the sum over hosts stays within the limit for any distribution of requests")
 {
     const retry_budget_limits limits{0.9, 10s, 52};
     for (const auto &shares : {std::vector<int>{100, 0, 0, 0, 0, 0}, std::vector<int>{50, 30, 10, 5, 3, 2}}) {
         int requests = 0;
-        int repeats = 0;
+        int retries = 0;
         for (const int share : shares) {
             retry_budget budget(limits);
             for (int i = 0; i < share; ++i)
                 budget.recordRequest("s", 1s);
             requests += share;
             for (int i = 0; i < 500; ++i)
-                repeats += budget.tryConsumeRetry("s", retry_reason::failure, 2s) ? 1 : 0;
+                retries += budget.tryConsumeRetry("s", retry_reason::failure, 2s) ? 1 : 0;
         }
-        CHECK(repeats <= limits.ratio * requests + limits.slack);
-        CHECK(repeats >= limits.ratio * requests / 2);
+        CHECK(retries <= limits.ratio * requests + limits.slack);
+        CHECK(retries >= limits.ratio * requests / 2);
     }
 }
 
-TEST_CASE("retry budget: escalations leave room for failures, and the window slides")
+TEST_CASE("retry budget: escalations leave part of the budget to failures, and the window slides")
 {
     retry_budget budget({0.9, 10s, 0});
     for (int i = 0; i < 100; ++i)
@@ -134,7 +134,7 @@
     CHECK_FALSE(budget.tryConsumeRetry("s", retry_reason::failure, 12s)); // the requests have left the window
 }
 
-TEST_CASE("replica table: requests with the same shared prompt go to the same replica until it is busy")
+TEST_CASE("replica table: requests with the same shared prefix go to the same replica until it is busy")
 {
     replica_table table("d1", 1);
     table.setReplicas(makeEntries(9));
@@ -142,19 +142,19 @@
     query.service = "s";
     query.sharedPrefixHash = 77;
     query.work = {100, 20};
-    const auto *home = table.pick(query, 1s);
-    REQUIRE(home);
-    const std::string homeId = home->id;
-    CHECK(table.pick(query, 1s)->id == homeId);
-    const double first = table.recordStart(homeId, 77, query.work, 1s);
+    const auto *preferred = table.pick(query, 1s);
+    REQUIRE(preferred);
+    const std::string preferredId = preferred->id;
+    CHECK(table.pick(query, 1s)->id == preferredId);
+    const double first = table.recordStart(preferredId, 77, query.work, 1s);
     CHECK(first == doctest::Approx(120));
-    CHECK(table.pick(query, 1s)->id != homeId); // waiting there takes longer than reading the prompt again elsewhere
-    table.recordFirstByte(homeId, first);
-    CHECK(table.pick(query, 1s)->id == homeId);
-    CHECK(table.recordStart(homeId, 77, query.work, 2s) == doctest::Approx(20)); // the shared part has been read
+    CHECK(table.pick(query, 1s)->id != preferredId); // waiting there takes longer than prefilling the prompt elsewhere
+    table.recordFirstByte(preferredId, first);
+    CHECK(table.pick(query, 1s)->id == preferredId);
+    CHECK(table.recordStart(preferredId, 77, query.work, 2s) == doctest::Approx(20)); // the shared prefix is cached
 }
 
-TEST_CASE("replica table: a burst of long prompts is spread over all replicas")
+TEST_CASE("replica table: a burst of long prompts is distributed over all replicas")
 {
     replica_table table("d1", 1);
     table.setReplicas(makeEntries(9));
@@ -162,7 +162,7 @@
     for (std::uint64_t i = 1; i <= 90; ++i) {
         replica_query query;
         query.service = "s";
-        query.sharedPrefixHash = i % 3 + 1; // three hot prompts
+        query.sharedPrefixHash = i % 3 + 1; // three frequent prefixes
         query.work = {100, 50};
         const auto *replica = table.pick(query, 1s);
         REQUIRE(replica);
@@ -174,7 +174,7 @@
         CHECK(count <= 20);
 }
 
-TEST_CASE("replica table: a failing replica is left alone for a while, but never more than half of a service")
+TEST_CASE("replica table: a failing replica is ejected for a while, but never more than half of a service")
 {
     replica_table table("d1", 1);
     table.setReplicas(makeEntries(3));
@@ -191,7 +191,7 @@
     CHECK(table.pick(query, 1600ms) != nullptr);
 }
 
-TEST_CASE("replica table: a replica that started anew under its id has nothing of before")
+TEST_CASE("replica table: a replica restarted under the same id keeps no state from before")
 {
     replica_table table("d1", 1);
     auto entries = makeEntries(2);
@@ -203,11 +203,11 @@
     entries[0].startedAtMs = 2000;
     table.setReplicas(entries);
     CHECK(table.running("r0") == 0);
-    table.recordEnd("r0", 0, true, 1s); // of an attempt from before
+    table.recordEnd("r0", 0, true, 1s); // of an attempt before the restart
     CHECK(table.running("r0") == 0);
 }
 
-TEST_CASE("replica table: draining replicas and those of other services or versions get nothing")
+TEST_CASE("replica table: draining replicas and those of other services or versions receive no requests")
 {
     replica_table table("d1", 1);
     auto entries = makeEntries(3);
@@ -223,7 +223,7 @@
     CHECK(table.pick(query, 1s)->id == "r2");
 }
 
-TEST_CASE("registry: entries that lapsed while the store was away hold for the grace, and no longer")
+TEST_CASE("registry: entries that lapsed during a store outage are retained only for the grace period")
 {
     replica_registry registry(1800ms);
     auto entries = makeEntries(3);
@@ -232,7 +232,7 @@
     registry.setStoreReachable(false, 5s);
     registry.setStoreReachable(true, 10s);
     registry.replaceAll({}, 10s);
-    CHECK(registry.entries().size() == 2); // the draining one is gone
+    CHECK(registry.entries().size() == 2); // the draining one isn't retained
     registry.upsert(makeEntry("r0"));
     CHECK_FALSE(registry.expire(11s));
     CHECK(registry.expire(11900ms));
@@ -240,7 +240,7 @@
     CHECK(registry.entries()[0].id == "r0");
 }
 
-TEST_CASE("registry: a removal in calm times holds at once")
+TEST_CASE("registry: a removal without a preceding store outage applies immediately")
 {
     replica_registry registry(1800ms);
     registry.replaceAll(makeEntries(2), 1s);
@@ -248,7 +248,7 @@
     CHECK(registry.entries().size() == 1);
 }
 
-TEST_CASE("model ladder: small first, the largest on low confidence, never beyond what is allowed")
+TEST_CASE("model cascade: smallest model first, the largest on low confidence, within attempts and objective")
 {
     const cascade_settings settings;
     cascade_step step;
@@ -264,7 +264,7 @@
     step.confidence.reset();
     CHECK_FALSE(nextModel(settings, step));
     step.confidence = 0;
-    step.elapsed = 600ms; // the larger model would come too late
+    step.elapsed = 600ms; // the larger model would respond too late
     CHECK_FALSE(nextModel(settings, step));
     step.elapsed = 0ms;
     step.sends = 3;
@@ -273,7 +273,7 @@
     CHECK(firstModel(settings, step) == 2);
 }
 
-TEST_CASE("placing: what other hosts have at a replica counts, until it is too old")
+TEST_CASE("replica table: outstanding requests of other hosts count until their report is too old")
 {
     replica_table table("d1", 1);
     table.setReplicas(makeEntries(4));
@@ -281,16 +281,16 @@
     query.service = "s";
     query.sharedPrefixHash = 77;
     query.work = {.sharedMs = 10, .ownMs = 5};
-    const std::string home = table.pick(query, 1s)->id;
-    // This host has nothing there; the others fill its batch, and one prompt after the other waits.
-    table.setOthersLoad({{home, 20, 4000}}, 1s);
-    CHECK(table.pick(query, 1s)->id != home);
-    // A short wait is no reason to read the shared prompt again elsewhere.
-    table.setOthersLoad({{home, 4, 40}}, 1s);
-    CHECK(table.pick(query, 1s)->id == home);
-    table.setOthersLoad({{home, 20, 4000}}, 2s);
-    CHECK(table.pick(query, 2s + replica_table::kMaxLoadAge)->id == home);
-    // Plain calls are over long before their report arrives.
+    const std::string preferred = table.pick(query, 1s)->id;
+    // This host has no requests there; those of the other hosts fill its batch, and their prompts queue.
+    table.setOthersLoad({{preferred, 20, 4000}}, 1s);
+    CHECK(table.pick(query, 1s)->id != preferred);
+    // A short wait doesn't justify prefilling the shared prefix elsewhere.
+    table.setOthersLoad({{preferred, 4, 40}}, 1s);
+    CHECK(table.pick(query, 1s)->id == preferred);
+    table.setOthersLoad({{preferred, 20, 4000}}, 2s);
+    CHECK(table.pick(query, 2s + replica_table::kMaxLoadAge)->id == preferred);
+    // Calls without a prompt end long before the report of them arrives.
     table.setOthersLoad({{"r0", 20, 0}, {"r1", 20, 0}, {"r2", 20, 0}}, 3s);
     query.work = {};
     query.sharedPrefixHash = 0;
@@ -300,7 +300,7 @@
     CHECK(used.size() == 4);
 }
 
-TEST_CASE("placing: many hosts that see little each fill no replica beyond its slots while others are free")
+TEST_CASE("replica table: many hosts with few requests each don't overload one replica while others are free")
 {
     constexpr std::size_t kHosts = 40;
     constexpr int kReplicas = 10;
@@ -309,7 +309,7 @@
         hosts.emplace_back("d1", i);
         hosts.back().setReplicas(makeEntries(kReplicas));
     }
-    // One hot prompt; each host sends one request in a round and then hears of the others'.
+    // One frequent prefix; each host sends one request per round, after which all hosts receive the load.
     std::map<std::string, double> running;
     replica_query query;
     query.service = "s";
@@ -329,10 +329,10 @@
         }
     }
     for (const auto &[replica, count] : running)
-        CHECK(count <= 12); // 80 requests for 80 slots; alone, each host would have sent all to one replica
+        CHECK(count <= 12); // 80 requests for 80 slots; without the load reports all would go to one replica
 }
 
-TEST_CASE("load board: sums of the hosts that report, and an estimate for those of other relays")
+TEST_CASE("load aggregator: sums of the reporting hosts, and an estimate for the hosts of other relays")
 {
     load_aggregator board;
     board.set("a", {{"r1", 2, 30}}, 1s);
@@ -346,7 +346,7 @@
     CHECK(others[0].backlogMs == 90);
     CHECK(others[1].running == 12);
     board.set("b", {}, 2s);
-    CHECK(board.totals(2s + load_aggregator::kReportLifetime - 1ms).empty()); // "a" isn't heard of any more
+    CHECK(board.totals(2s + load_aggregator::kReportLifetime - 1ms).empty()); // the report of "a" has expired
 }
 
 TEST_CASE("retry budget: the slack is divided among all hosts of a large fleet")
@@ -354,16 +354,16 @@
     constexpr std::size_t kHosts = 88;
     retry_budget budget({.ratio = 0.9, .window = 10s, .slack = 216});
     budget.setHosts(kHosts);
-    std::size_t repeats = 0;
+    std::size_t retries = 0;
     while (budget.tryConsumeRetry("s", retry_reason::failure, 1s))
-        ++repeats;
-    CHECK(repeats > 0);
-    CHECK(repeats * kHosts <= 216);
-    budget.setHosts(3); // hosts that went down may be back before this host knows
+        ++retries;
+    CHECK(retries > 0);
+    CHECK(retries * kHosts <= 216);
+    budget.setHosts(3); // hosts that went down may return before this host learns of it
     CHECK(budget.tryConsumeRetry("t", retry_reason::failure, 1s));
 }
 
-TEST_CASE("roll-out: a session has the same version on all hosts, the old one through the first stage, and moves once")
+TEST_CASE("roll-out: a session has the same version on all hosts, the old one in the first stage, and changes once")
 {
     rollout_policy host;
     rollout_policy another;
@@ -376,7 +376,7 @@
     for (std::uint32_t stage = 0; stage < 4; ++stage) {
         const auto order = makeOrder(rollout_state::in_progress, stage);
         host.setOrders({order}, 1s);
-        another.setOrders({order}, 3s); // it hasn't seen any of the sessions
+        another.setOrders({order}, 3s); // hasn't seen any of the sessions
         std::size_t onNew = 0;
         for (const auto key : keys) {
             const bool isNew = host.choose("s", key).version == "v2";
@@ -393,53 +393,54 @@
     CHECK(host.choose("s", keys[0]).excluded == "v2");
 }
 
-TEST_CASE("roll-out: a failing version is rejected within a few answers, and gets nothing more")
+TEST_CASE("roll-out: a failing version is rejected within a few responses, and receives no more requests")
 {
     rollout_policy policy;
     for (int i = 0; i < 50; ++i)
-        policy.recordResponse(makeAnswer("v1", "r1", false));
+        policy.recordResponse(makeResponse("v1", "r1", false));
     policy.setOrders({makeOrder()}, 1s);
-    int answers = 0;
-    for (; answers < 40 && policy.nextState(2s) == std::nullopt; ++answers)
-        policy.recordResponse(makeAnswer("v2", answers % 2 ? "n1" : "n2", answers % 2 == 0 || answers % 3 == 0));
-    CHECK(answers < 15);
+    int responses = 0;
+    for (; responses < 40 && policy.nextState(2s) == std::nullopt; ++responses)
+        policy.recordResponse(
+            makeResponse("v2", responses % 2 ? "n1" : "n2", responses % 2 == 0 || responses % 3 == 0));
+    CHECK(responses < 15);
     REQUIRE(policy.nextState(2s));
     CHECK(policy.nextState(2s)->state == rollout_state::rolled_back);
-    CHECK(policy.choose("s", 0).excluded == "v2"); // before the store has heard of it
+    CHECK(policy.choose("s", 0).excluded == "v2"); // before the store has the decision
 }
 
-TEST_CASE("roll-out: a slow version is rejected, one with cold caches or one bad replica is not")
+TEST_CASE("roll-out: a slow version is rejected, but not one with cold caches or a single bad replica")
 {
     rollout_policy slow;
     rollout_policy cold;
     rollout_policy oneBad;
     for (auto *policy : {&slow, &cold, &oneBad}) {
         for (int i = 0; i < 50; ++i)
-            policy->recordResponse(makeAnswer("v1", "r1", false, 20ms));
+            policy->recordResponse(makeResponse("v1", "r1", false, 20ms));
         policy->setOrders({makeOrder()}, 1s);
     }
     for (int i = 0; i < 40; ++i) {
-        slow.recordResponse(makeAnswer("v2", i % 2 ? "n1" : "n2", false, 160ms));
-        cold.recordResponse(makeAnswer("v2", i % 2 ? "n1" : "n2", false, 30ms));
-        oneBad.recordResponse(makeAnswer("v2", i % 3 ? "n1" : "n2", i % 3 == 0));
+        slow.recordResponse(makeResponse("v2", i % 2 ? "n1" : "n2", false, 160ms));
+        cold.recordResponse(makeResponse("v2", i % 2 ? "n1" : "n2", false, 30ms));
+        oneBad.recordResponse(makeResponse("v2", i % 3 ? "n1" : "n2", i % 3 == 0));
     }
     CHECK(slow.nextState(2s));
     CHECK_FALSE(cold.nextState(2s));
     CHECK_FALSE(oneBad.nextState(2s));
 }
 
-TEST_CASE("roll-out: an impairment that hits both versions alike rejects neither")
+TEST_CASE("roll-out: an impairment that affects both versions equally rejects neither")
 {
     rollout_policy policy;
     for (int i = 0; i < 100; ++i)
-        policy.recordResponse(makeAnswer("v1", "r1", i % 3 == 0));
+        policy.recordResponse(makeResponse("v1", "r1", i % 3 == 0));
     policy.setOrders({makeOrder()}, 1s);
     for (int i = 0; i < 30; ++i)
-        policy.recordResponse(makeAnswer("v2", i % 2 ? "n1" : "n2", i % 3 == 0));
+        policy.recordResponse(makeResponse("v2", i % 2 ? "n1" : "n2", i % 3 == 0));
     CHECK_FALSE(policy.nextState(2s));
 }
 
-TEST_CASE("roll-out: a good version goes through its stages to the end, and takes no evidence of an order before")
+TEST_CASE("roll-out: a good version advances through all stages to completion")
 {
     rollout_policy policy;
     auto order = makeOrder(rollout_state::ordered);
@@ -460,23 +461,23 @@
     CHECK(stages == std::vector<std::uint32_t>{0, 1, 2, 3, 3});
 }
 
-TEST_CASE("roll-out: a version that is bad on one route only is rejected there, however many good answers others give")
+TEST_CASE("roll-out: a version that is bad on one route only is rejected despite good responses on others")
 {
     rollout_policy policy;
     for (int i = 0; i < 50; ++i)
-        policy.recordResponse(makeAnswer("v1", "r1", false));
+        policy.recordResponse(makeResponse("v1", "r1", false));
     policy.setOrders({makeOrder()}, 1s);
-    int answers = 0;
-    for (; answers < 100 && !policy.nextState(2s); ++answers) {
-        const bool isOnRoute = answers % 10 == 0;
-        auto answer = makeAnswer("v2", answers / 10 % 2 ? "n1" : "n2", isOnRoute);
-        answer.stratum = isOnRoute ? "one" : "other";
-        policy.recordResponse(answer);
+    int responses = 0;
+    for (; responses < 100 && !policy.nextState(2s); ++responses) {
+        const bool isOnRoute = responses % 10 == 0;
+        auto response = makeResponse("v2", responses / 10 % 2 ? "n1" : "n2", isOnRoute);
+        response.stratum = isOnRoute ? "one" : "other";
+        policy.recordResponse(response);
     }
-    CHECK(answers < 40); // of these, one in ten of the bad route
+    CHECK(responses < 40); // one in ten of these on the bad route
 }
 
-TEST_CASE("event splitter: whole events only, in pieces of any size")
+TEST_CASE("event splitter: emits only complete events, for input split at any size")
 {
     const std::string text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\ndata: cut";
     for (std::size_t piece = 1; piece < 30; ++piece) {
--- a/tests/test_policy.cpp
+++ b/tests/test_policy.cpp
@@ -1,5 +1,5 @@
-// Cascade policy: paying for the strongest model where a cheap one does, and missing targets or deadlines to save
-// money.
+// Cascade policy. Guards against using the strongest model where a cheaper one suffices, and against missing targets or
+// deadlines to save cost.
 #include "policy_p.h"
 
 #include <array>
@@ -31,7 +31,7 @@
         policy.recordRating("page-tag", version, i * met / (met + missed) != (i + 1) * met / (met + missed));
 }
 
-/// @returns how many of 1000 decisions start with the cheap model.
+/// @returns the number of decisions out of 1000 that start with the cheap model.
 int cheapStarts(const cascade_policy &policy, const fleet &config)
 {
     int cheap = 0;
@@ -57,8 +57,7 @@
 
 TEST_CASE("policy weighs latency as configured")
 {
-    // With the same chances a site that waits at a counter goes for the fast chain, one that pays goes for the cheap
-    // one.
+    // With the same estimates, high latency weights select the fast cascade and high cost weights the cheap one.
     cascade_policy policy;
     learnMany(policy, "cheap-1", 60, 140);
     learnMany(policy, "strong-1", 196, 4);
@@ -72,9 +71,9 @@
     CHECK(cheap <= 100);
 }
 
-TEST_CASE("policy takes the strongest model without ratings, and where the deadline allows no second attempt")
+TEST_CASE("policy chooses the strongest model without ratings, or if the deadline allows no second attempt")
 {
-    // A cheap answer that no one rates would reach the caller however wrong it is.
+    // An unrated response of the cheap model would reach the caller even if it is wrong.
     const auto config = cascadeFleet();
     cascade_policy policy;
     learnMany(policy, "cheap-1", 199, 1);
@@ -85,16 +84,16 @@
     CHECK(policy.choose(unrated, kKind, kCandidates, 10s, true).start == 1);
 }
 
-TEST_CASE("policy notices a version that changes")
+TEST_CASE("policy detects a change of a version")
 {
-    // Counts that never age hide a change behind a long good past.
+    // Without decay, a long good history hides a change.
     cascade_policy policy;
     learnMany(policy, "cheap-1", 9000, 1000);
     learnMany(policy, "cheap-1", 0, 300);
     CHECK(policy.estimate("page-tag", "cheap-1").mean() < 0.3);
 }
 
-TEST_CASE("policy explores a little, and returns to a version that recovered")
+TEST_CASE("policy explores a small share of requests, and returns to a version that recovered")
 {
     const auto config = cascadeFleet();
     cascade_policy policy;
@@ -110,7 +109,7 @@
     CHECK(cheapAtEnd >= 900);
 }
 
-TEST_CASE("policy shares its estimates, each answer once")
+TEST_CASE("policy shares its estimates, each response once")
 {
     cascade_policy one;
     cascade_policy two;
@@ -122,9 +121,9 @@
           == doctest::Approx(one.estimate("page-tag", "cheap-1").mean()).epsilon(0.05));
 }
 
-TEST_CASE("policy decides on one request the same each time")
+TEST_CASE("policy makes the same decision each time for one request")
 {
-    // A request that waits is decided on again and again; new draws would make it explore in the end.
+    // A waiting request is decided on several times; new random bits each time would eventually make it explore.
     const auto config = cascadeFleet();
     cascade_policy policy;
     learnMany(policy, "cheap-1", 20, 80);
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -1,4 +1,5 @@
-// Quarantine: a crashing request must be blocked after two upstreams, and no longer than its lifetime.
+// Quarantine: a request that crashes upstreams must be blocked after two crashes, and only for the lifetime of the
+// entry.
 #include "quarantine_p.h"
 
 #include <doctest/doctest.h>
@@ -6,41 +7,41 @@
 using namespace foxtaildyke;
 using namespace std::chrono_literals;
 
-TEST_CASE("a fingerprint is blocked at its second crash and free after its lifetime")
+TEST_CASE("a fingerprint is blocked at its second crash, until its lifetime ends")
 {
     quarantine entries;
     const tuning tune{.quarantineLifetime = 600s};
-    const auto print = fingerprintOf("a", "page-tag", "poison");
-    CHECK_FALSE(entries.recordCrash(print, tune, 0s));
-    CHECK_FALSE(entries.isBlocked(print, 1s));
-    CHECK(entries.recordCrash(print, tune, 10s));
-    CHECK(entries.isBlocked(print, 609s));
-    CHECK_FALSE(entries.isBlocked(print, 610s));
-    CHECK_MESSAGE(!entries.recordCrash(print, tune, 700s), "an expired entry starts anew");
+    const auto fingerprint = fingerprintOf("a", "page-tag", "poison");
+    CHECK_FALSE(entries.recordCrash(fingerprint, tune, 0s));
+    CHECK_FALSE(entries.isBlocked(fingerprint, 1s));
+    CHECK(entries.recordCrash(fingerprint, tune, 10s));
+    CHECK(entries.isBlocked(fingerprint, 609s));
+    CHECK_FALSE(entries.isBlocked(fingerprint, 610s));
+    CHECK_MESSAGE(!entries.recordCrash(fingerprint, tune, 700s), "an expired entry restarts its count");
 }
 
-TEST_CASE("a fingerprint that another host blocked stays blocked for its longest lifetime")
+TEST_CASE("a fingerprint blocked by another host stays blocked for the longest lifetime")
 {
     quarantine entries;
-    const auto print = fingerprintOf("a", "page-tag", "poison");
-    entries.block(print, tuning{.quarantineLifetime = 600s}, 0s);
-    entries.block(print, tuning{.quarantineLifetime = 10s}, 1s);
-    CHECK(entries.isBlocked(print, 599s));
+    const auto fingerprint = fingerprintOf("a", "page-tag", "poison");
+    entries.block(fingerprint, tuning{.quarantineLifetime = 600s}, 0s);
+    entries.block(fingerprint, tuning{.quarantineLifetime = 10s}, 1s);
+    CHECK(entries.isBlocked(fingerprint, 599s));
     CHECK_FALSE(entries.isBlocked(fingerprintOf("a", "page-tag", "other"), 1s));
 }
 
-TEST_CASE("fingerprints keep account, kind and prompt apart")
+TEST_CASE("fingerprints distinguish account, kind and prompt")
 {
     CHECK(fingerprintOf("ab", "c", "d") != fingerprintOf("a", "bc", "d"));
     CHECK(fingerprintOf("a", "b", "cd") != fingerprintOf("a", "bc", "d"));
 }
 
-TEST_CASE("entries still in force survive the purge of expired ones")
+TEST_CASE("unexpired entries remain after the purge of expired ones")
 {
     quarantine entries;
     const tuning tune{.quarantineLifetime = 600s};
-    for (std::uint64_t print = 0; print < 5000; ++print)
-        entries.block(print, tune, std::chrono::seconds{print});
+    for (std::uint64_t fingerprint = 0; fingerprint < 5000; ++fingerprint)
+        entries.block(fingerprint, tune, std::chrono::seconds{fingerprint});
     CHECK(entries.isBlocked(4999, 5000s));
     CHECK(entries.isBlocked(4500, 5000s));
     CHECK_FALSE(entries.isBlocked(4000, 5000s));
--- a/tests/test_session.cpp
+++ b/tests/test_session.cpp
@@ -5,7 +5,7 @@
 
 using namespace foxtaildyke;
 
-TEST_CASE("a session token round-trips and a changed one is refused")
+TEST_CASE("a session token round-trips and a modified one is rejected")
 {
     const session_pins pins{"studio-legale", "s-1", 7, {"grand-2", "swift-3"}};
     auto token = signPins(pins, "key");
