--- a/src/forwarding.cpp
+++ b/src/forwarding.cpp
@@ -1,4 +1,4 @@
-// Heads of forwarded messages; see forwarding_p.h.
+// Construction of the heads of forwarded messages; see forwarding_p.h.
 #include "forwarding_p.h"
 
 #include "text_hash_p.h"
@@ -11,13 +11,13 @@
 namespace
 {
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and those that the gateway writes itself.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that the gateway generates itself.
 constexpr std::array<std::string_view, 11> kConnectionHeaders{
     "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
     "TE",         "Trailer",    "Upgrade",          "Transfer-Encoding",  "Content-Length",
     "Expect"};
 
-constexpr std::uint32_t kLeastUrgent = 9;
+constexpr std::uint32_t kLowestPriority = 9;
 
 bool isConnectionHeader(std::string_view name)
 {
@@ -30,8 +30,8 @@
     return std::ranges::any_of(names, [name](const std::string &other) { return isSameHeader(name, other); });
 }
 
-/// Reads "PROMPT,ANSWER" and the caller's own estimate of the answer.
-void readTokens(request_metadata &facts, const message_head &head, const header_names &headerNames)
+/// Parses "PROMPT,OUTPUT" and the caller's estimate of the output length; the estimate takes precedence.
+void parseTokenCounts(request_facts &facts, const message_head &head, const header_dialect &dialect)
 {
     const auto counts = splitList(head.header(headerNames.tokenCounts));
     if (!counts.empty())
@@ -48,8 +48,8 @@
     return colon == std::string_view::npos ? 0 : parseNumber(part.substr(colon + 1)).value_or(0);
 }
 
-/// Reads "ID:TOKENS,...": the last part is the request's own, those before it are shared.
-void readPrompt(request_metadata &facts, const message_head &head, const header_names &headerNames)
+/// Parses "ID:TOKENS,...": the last part is specific to the request, the parts before it are shared with others.
+void parsePromptParts(request_facts &facts, const message_head &head, const header_dialect &dialect)
 {
     const auto parts = splitList(head.header(headerNames.promptParts));
     if (parts.size() < 2)
@@ -77,15 +77,15 @@
         facts.key = trimmed(authorization.substr(scheme.size() + 1));
     const auto session = head.header(headerNames.session);
     facts.session = hashOf(session.empty() ? std::string_view(facts.id) : session);
-    readTokens(facts, head, headerNames);
-    readPrompt(facts, head, headerNames);
+    parseTokenCounts(facts, head, dialect);
+    parsePromptParts(facts, head, dialect);
     return facts;
 }
 
 std::string forwardedHead(const caller_request &request, const forward_fields &fields, const header_names &headerNames)
 {
     const auto &head = request.head;
-    const auto dropped = splitList(head.header("Connection"));
+    const auto connectionOptions = splitList(head.header("Connection"));
     std::string text = head.method + ' ' + head.target + " HTTP/1.1\r\n";
     const auto add = [&text](std::string_view name, std::string_view value) {
         text.append(name).append(": ").append(value).append("\r\n");
@@ -95,15 +95,14 @@
             || (fields.lastEventId && isSameHeader(name, headerNames.lastEventId))
             || isSameHeader(name, headerNames.deadline) || isSameHeader(name, "Authorization");
     };
-    const auto isOwn = [&](std::string_view name) {
-        return isSameHeader(name, "Host") || isSameHeader(name, headerNames.requestId)
-            || isSameHeader(name, headerNames.model) || isSameHeader(name, headerNames.tokenCounts)
-            || isSameHeader(name, headerNames.promptParts) || isSameHeader(name, headerNames.lastEventId);
+    const auto isRequired = [&](std::string_view name) {
+        return isSameHeader(name, "Host") || isSameHeader(name, dialect.requestId) || isSameHeader(name, dialect.model)
+            || isSameHeader(name, dialect.tokenCounts) || isSameHeader(name, dialect.promptParts)
+            || isSameHeader(name, dialect.lastEventId);
     };
     for (const auto &[name, value] : head.headers) {
-        const bool isNamedByConnection = isOneOf(name, dropped) && !isOwn(name);
-        if (!isConnectionHeader(name) && !isNamedByConnection && !isReplaced(name)
-            && !isOneOf(name, headerNames.reserved))
+        const bool isConnectionOption = isOneOf(name, connectionOptions) && !isRequired(name);
+        if (!isConnectionHeader(name) && !isConnectionOption && !isReplaced(name) && !isOneOf(name, dialect.reserved))
             add(name, value);
     }
     add(headerNames.deadline, std::to_string(fields.deadline.count()));
@@ -113,7 +112,7 @@
     if (!fields.model.empty())
         add(headerNames.model, fields.model);
     if (fields.priority)
-        add(headerNames.priority, std::to_string(std::min(*fields.priority, kLeastUrgent)));
+        add(dialect.priority, std::to_string(std::min(*fields.priority, kLowestPriority)));
     if (fields.lastEventId)
         add(headerNames.lastEventId, std::to_string(*fields.lastEventId));
     const bool hasBody = head.length || head.isChunked;
@@ -122,14 +121,14 @@
     return text + "\r\n";
 }
 
-http_headers forwardedResponseHeaders(const message_head &answer)
+http_headers answerHeaders(const message_head &response)
 {
-    const auto dropped = splitList(answer.header("Connection"));
-    http_headers kept;
-    std::ranges::copy_if(answer.headers, std::back_inserter(kept), [&](const auto &entry) {
-        return !isConnectionHeader(entry.first) && !isOneOf(entry.first, dropped);
+    const auto connectionOptions = splitList(response.header("Connection"));
+    http_headers forwarded;
+    std::ranges::copy_if(response.headers, std::back_inserter(forwarded), [&](const auto &entry) {
+        return !isConnectionHeader(entry.first) && !isOneOf(entry.first, connectionOptions);
     });
-    return kept;
+    return forwarded;
 }
 
 } // namespace foxtaildyke
--- a/src/gateway_clock_p.h
+++ b/src/gateway_clock_p.h
@@ -1,5 +1,5 @@
-// Time of the gateway's decisions: monotonic and counting the time for which a host was suspended, so that leases and
-// ages are right after a host wakes up.
+// Clock of the gateway: monotonic and including the time for which the host was suspended, so that leases and ages are
+// correct after a resume.
 #pragma once
 
 #include "foxtaildyke/foxtaildyke.h"
@@ -9,7 +9,7 @@
 namespace foxtaildyke
 {
 
-/// @returns monotonic time of this host, suspended time included.
+/// @returns the monotonic time of this host, including suspended time.
 [[nodiscard]] inline instant suspendAwareNow()
 {
     timespec time{};
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -1,5 +1,5 @@
-// One request on its way: admission, choice of a replica, sending; see gateway_exchange_p.h. What follows an answer is
-// in gateway_exchange_responses.cpp.
+// Processing of one request: admission, replica selection, sending; see gateway_exchange_p.h. Responses are handled in
+// gateway_exchange_answers.cpp.
 #include "gateway_exchange_p.h"
 
 #include <nlohmann/json.hpp>
@@ -10,11 +10,12 @@
 namespace
 {
 
-/// Tokens of a prompt that an engine reads in one ms with the largest model: 157 by the sheet of today's engines, at a
-/// pace of 3.
+/// Prompt tokens that an engine processes in one ms with the largest model. The data sheet of the engines states 157
+/// tokens per ms at pace 1; each model's pace is a factor on its processing time, 3 for the largest (157 / 3 = 52).
 constexpr double kPromptTokensPerMs = 52;
 
-/// Part of the key lease that is used: the rest covers a watch that misses changes for a second before it is cut.
+/// Fraction of the key lease that is used. The rest covers a watch that misses changes for a second before it is
+/// disconnected.
 constexpr double kKeyLeaseShare = 0.8;
 
 } // namespace
@@ -44,11 +45,11 @@
 
 void gateway_exchange::begin()
 {
-    if (const auto reason = check())
+    if (const auto reason = validate())
         return refuse(*reason);
     const auto wait = std::min(m_route->timeout, m_facts.deadline.value_or(m_route->timeout));
     m_deadline = m_request.readAt + wait;
-    m_timer.start(left());
+    m_timer.start(remainingTime());
     chooseService();
     m_state.budget.recordRequest(m_service, m_request.readAt);
     if (!m_route->models.empty()) {
@@ -60,8 +61,8 @@
     attempt();
 }
 
-/// Checks the request against the configuration. @returns why it is refused, or nothing.
-std::optional<gateway_exchange::refusal> gateway_exchange::check()
+/// Validates the request against the configuration. @returns the reason for a refusal, or nothing.
+std::optional<gateway_exchange::refusal> gateway_exchange::validate()
 {
     if (!m_config || !m_state.hasReplicas)
         return refusal::no_config;
@@ -69,7 +70,7 @@
         return refusal::missing_id;
     m_route = m_config->findRoute(m_facts.host, m_request.head.target);
     const bool isStale = !m_state.hasKeyLease(suspendAwareNow());
-    // An old configuration says nothing about routes and keys that it lacks.
+    // A stale configuration can't prove that a route or key doesn't exist.
     if (isStale && (!m_route || !m_route->isPublic))
         return refusal::no_key_lease;
     if (!m_route)
@@ -94,7 +95,7 @@
     }
 }
 
-std::chrono::milliseconds gateway_exchange::left() const
+std::chrono::milliseconds gateway_exchange::remainingTime() const
 {
     const auto remaining = m_deadline - suspendAwareNow();
     return std::max(std::chrono::milliseconds{0}, std::chrono::duration_cast<std::chrono::milliseconds>(remaining));
@@ -106,27 +107,27 @@
     if (!service || !service->engine)
         return {};
     const auto &costs = service->engine->modelCosts;
-    double pace = 1; // of the model, relative to the largest
+    double relativeCost = 1; // of the model, relative to the most expensive one
     if (!m_route->models.empty() && costs.contains(m_route->models[m_model])) {
-        const auto bySize = [](const auto &left, const auto &right) {
+        const auto byCost = [](const auto &left, const auto &right) {
             return left.second < right.second;
         };
-        const auto largest = std::max_element(costs.begin(), costs.end(), bySize)->second;
-        pace = costs.at(m_route->models[m_model]) / std::max(largest, 1e-9);
+        const auto largest = std::max_element(costs.begin(), costs.end(), byCost)->second;
+        relativeCost = costs.at(m_route->models[m_model]) / std::max(largest, 1e-9);
     }
-    const auto msOf = [pace](std::uint64_t tokens) {
-        return pace * static_cast<double>(tokens) / kPromptTokensPerMs;
+    const auto msOf = [relativeCost](std::uint64_t tokens) {
+        return relativeCost * static_cast<double>(tokens) / kPromptTokensPerMs;
     };
     return {msOf(m_facts.sharedTokens), msOf(m_facts.promptTokens - m_facts.sharedTokens)};
 }
 
-/// @returns a key of the shared parts of the prompt for the present model, as engines keep them for each model apart.
+/// @returns a key for the shared prompt parts and the current model, because engines cache prompts per model.
 std::uint64_t gateway_exchange::promptKey() const
 {
     return m_facts.sharedPrefixHash == 0 ? 0 : m_facts.sharedPrefixHash + m_model;
 }
 
-const replica_entry *gateway_exchange::pickOf(const version_choice &choice, instant now)
+const replica_entry *gateway_exchange::pickForVersion(const version_choice &choice, instant now)
 {
     replica_query query;
     query.service = m_service;
@@ -134,7 +135,7 @@
     query.excludedVersion = choice.excluded;
     query.sharedPrefixHash = promptKey();
     query.work = promptWork();
-    query.tried = &m_tried;
+    query.tried = &m_triedReplicas;
     return m_state.replicas.pick(query, now);
 }
 
@@ -142,36 +143,36 @@
 {
     const auto now = suspendAwareNow();
     const auto choice = m_state.rollouts.choose(m_service, m_facts.session);
-    if (const auto *wanted = pickOf(choice, now))
-        return wanted;
-    // The new version may not be up yet, or its only replica has been tried.
+    if (const auto *preferred = pickForVersion(choice, now))
+        return preferred;
+    // The new version may have no running replica yet, or its only replica has been tried.
     if (!choice.version.empty())
-        return pickOf({{}, choice.version}, now);
+        return pickForVersion({{}, choice.version}, now);
     return nullptr;
 }
 
 void gateway_exchange::attempt()
 {
     const auto *replica = pickReplica();
-    if (!replica && !m_tried.empty() && m_sends < m_route->maxAttempts) {
-        m_tried.clear(); // all have been tried; one of them may have recovered
+    if (!replica && !m_triedReplicas.empty() && m_sends < m_route->maxAttempts) {
+        m_triedReplicas.clear(); // all replicas have been tried; one of them may have recovered
         replica = pickReplica();
     }
     if (replica)
         return send(*replica);
-    if (m_hasBegun)
-        return cutOff("no_replica");
+    if (m_hasStreamStarted)
+        return abortResponse("no_replica");
     refuse(m_mayHaveRun ? refusal::failed : refusal::no_replica);
 }
 
-/// Urgency first; within it short work before long, so that a prompt of the smallest model doesn't wait for one of the
-/// largest, and streams that have paused already come last.
+/// Orders by urgency first. Within the same urgency, short work precedes long work, so that a prompt for the smallest
+/// model doesn't wait for one for the largest; streams that have already been interrupted come last.
 std::uint32_t gateway_exchange::enginePriority() const
 {
-    constexpr std::uint32_t kLevels = 3;
+    constexpr std::uint32_t kLevelsPerUrgency = 3;
     const auto urgency = m_account && m_account->priority ? *m_account->priority : m_route->priority;
     const bool isLarge = m_model > 0 && m_model + 1 == m_route->models.size();
-    return kLevels * urgency + (m_hasBegun ? 2 : isLarge ? 1 : 0);
+    return kLevelsPerUrgency * urgency + (m_hasStreamStarted ? 2 : isLarge ? 1 : 0);
 }
 
 upstream_request gateway_exchange::upstreamRequest(const replica_entry &replica) const
@@ -180,11 +181,11 @@
     fields.replica = replica.id;
     fields.account = m_account ? m_account->name : std::string();
     fields.model = m_route->models.empty() ? std::string() : m_route->models[m_model];
-    fields.deadline = left();
+    fields.deadline = remainingTime();
     const auto *service = m_config->findService(m_service);
     if (service && service->engine)
         fields.priority = enginePriority();
-    if (m_hasBegun)
+    if (m_hasStreamStarted)
         fields.lastEventId = m_lastEventId;
     return {replica.address, replica.id, forwardedHead(m_request, fields, m_state.headerNames) + m_request.body,
             m_facts.id};
@@ -194,13 +195,13 @@
 {
     m_replica = replica.id;
     m_replicaVersion = replica.version;
-    m_tried.insert(replica.id);
+    m_triedReplicas.insert(replica.id);
     ++m_sends;
     m_sentAt = suspendAwareNow();
     m_firstByteAt.reset();
     m_firstEventAt.reset();
     m_eventCount = 0;
-    m_answer = {};
+    m_response = {};
     m_body.clear();
     m_isStream = false;
     m_events.reset();
@@ -217,8 +218,8 @@
     m_mayHaveRun = m_mayHaveRun || m_upstream != nullptr;
     if (m_upstream)
         closeAttempt(wasSilent ? std::optional(false) : std::nullopt);
-    if (m_hasBegun)
-        return cutOff("deadline");
+    if (m_hasStreamStarted)
+        return abortResponse("deadline");
     refuse(m_mayHaveRun ? refusal::deadline : refusal::not_run);
 }
 
@@ -230,7 +231,7 @@
 
 void gateway_exchange::onCallerGone()
 {
-    constexpr int kClientClosed = 499; // in logs only
+    constexpr int kClientClosed = 499; // only used in logs and metrics
     if (m_upstream)
         closeAttempt(std::nullopt);
     finish(kClientClosed, "caller_gone");
--- a/src/gateway_exchange_p.h
+++ b/src/gateway_exchange_p.h
@@ -1,6 +1,6 @@
-// One caller's request on its way: checks it against the configuration, sends it to a replica, passes the answer on,
-// and follows the rules on repeats, escalation and resumption. The decisions themselves are in attempt_rules,
-// model_cascade, replica_table, retry_budget and rollout_policy.
+// Processing of one caller's request: validates it against the configuration, sends it to a replica, forwards the
+// response, and applies the rules on retries, escalation and stream resumption. The decisions themselves are in
+// attempt_rules, model_ladder, replica_table, retry_budget and rollout_policy.
 #pragma once
 
 #include "attempt_rules_p.h"
@@ -18,16 +18,16 @@
 namespace foxtaildyke
 {
 
-/// What the requests of a host share. Owned by gateway_task.
+/// State shared by all requests of a host. Owned by gateway_task.
 struct gateway_state {
     event_loop &loop;
     const gateway_settings &settings;
     const header_names &headerNames;
     decision_log &log;
     gateway_metrics &metrics;
-    gateway_config_ptr config; ///< null: none is known
+    gateway_config_ptr config; ///< null: none received yet
     std::optional<instant> configConfirmedAt; ///< when the configuration was last known to be the newest
-    bool hasReplicas = false; ///< the list of replicas has been read
+    bool hasReplicas = false; ///< the list of replicas has been received
     replica_table replicas;
     retry_budget budget;
     rollout_policy rollouts;
@@ -35,7 +35,8 @@
     upstream_pool pool;
     std::mt19937_64 random;
 
-    /// @returns whether keys may be accepted: none can have been withdrawn for longer than the bound allows.
+    /// @returns whether keys may be accepted: the configuration is recent enough that no accepted key can have been
+    /// withdrawn for longer than the key lease.
     [[nodiscard]] bool hasKeyLease(instant now) const;
 };
 
@@ -45,14 +46,14 @@
     gateway_exchange(gateway_state &state, caller_request request, caller_reply &reply);
     ~gateway_exchange() override;
 
-    /// Starts the work; it may be finished when this returns.
+    /// Starts processing; the request may already be finished when this returns.
     void begin();
 
     void onCallerDrained() override;
     void onCallerGone() override;
 
 private:
-    /// Why the gateway answers itself.
+    /// Reason for which the gateway itself responds with an error.
     enum class refusal : std::uint8_t {
         no_config,
         no_key_lease,
@@ -72,30 +73,30 @@
     void onUpstreamBody(std::string_view bytes) override;
     void onUpstreamEnd(upstream_end end) override;
 
-    [[nodiscard]] std::optional<refusal> check();
+    [[nodiscard]] std::optional<refusal> validate();
     void chooseService();
     void attempt();
     [[nodiscard]] const replica_entry *pickReplica();
-    [[nodiscard]] const replica_entry *pickOf(const version_choice &choice, instant now);
+    [[nodiscard]] const replica_entry *pickForVersion(const version_choice &choice, instant now);
     void send(const replica_entry &replica);
     [[nodiscard]] upstream_request upstreamRequest(const replica_entry &replica) const;
     [[nodiscard]] std::optional<std::size_t> escalation(const message_head &head) const;
     void escalate(std::size_t model);
-    void passEvent(std::string_view event, std::optional<std::uint64_t> id);
+    void forwardEvent(std::string_view event, std::optional<std::uint64_t> id);
     void beginStream();
     [[nodiscard]] attempt_result classify(upstream_end end) const;
-    void recordAttempt(attempt_result result);
-    void noteVersionAnswer(attempt_result result);
+    void noteAttempt(attempt_result result);
+    void recordVersionResponse(attempt_result result);
     void closeAttempt(std::optional<bool> isGood);
-    void follow(attempt_result result);
-    void repeat(attempt_result result, attempt_outcome facts);
-    void passOn();
+    void handleAttemptResult(attempt_result result);
+    void retryOrFinish(attempt_result result, attempt_facts facts);
+    void forwardResponse();
     void refuse(refusal reason);
-    void cutOff(std::string_view reason);
+    void abortResponse(std::string_view reason);
     void onDeadline();
     void finish(int status, std::string_view reason);
 
-    [[nodiscard]] std::chrono::milliseconds left() const;
+    [[nodiscard]] std::chrono::milliseconds remainingTime() const;
     [[nodiscard]] prompt_work promptWork() const;
     [[nodiscard]] std::uint32_t enginePriority() const;
     [[nodiscard]] std::uint64_t promptKey() const;
@@ -104,40 +105,40 @@
     gateway_state &m_state;
     caller_request m_request;
     caller_reply &m_reply;
-    request_metadata m_facts;
-    gateway_config_ptr m_config; ///< in force when the request came
+    request_facts m_facts;
+    gateway_config_ptr m_config; ///< active when the request arrived
     const gateway_route *m_route = nullptr; ///< in m_config
     const client_account *m_account = nullptr; ///< in m_config
     std::string m_service;
     instant m_deadline{};
-    std::size_t m_model = 0; ///< index into the route's models
+    std::size_t m_model = 0; ///< index into the models of the route
 
     std::unique_ptr<upstream_exchange> m_upstream; ///< null between attempts
-    std::string m_replica; ///< of the present or last attempt
+    std::string m_replica; ///< of the current or last attempt
     std::string m_replicaVersion;
-    double m_promptMs = 0; ///< noted at the replica until its first byte
+    double m_promptMs = 0; ///< prompt time accounted to the replica until its first byte arrives
     instant m_sentAt{};
-    std::optional<instant> m_firstByteAt; ///< of the present attempt
-    std::optional<instant> m_firstEventAt; ///< of the present attempt
-    std::uint32_t m_eventCount = 0; ///< of the present attempt
-    message_head m_answer; ///< of the present or last attempt
-    std::string m_body; ///< of an answer that is not streamed
-    bool m_isStream = false; ///< the present answer is passed on event by event
+    std::optional<instant> m_firstByteAt; ///< of the current attempt
+    std::optional<instant> m_firstEventAt; ///< of the current attempt
+    std::uint32_t m_eventCount = 0; ///< of the current attempt
+    message_head m_response; ///< head of the current or last attempt's response
+    std::string m_body; ///< of a non-streamed response
+    bool m_isStream = false; ///< the current response is forwarded event by event
     event_splitter m_events;
 
-    std::set<std::string> m_tried;
+    std::set<std::string> m_triedReplicas;
     std::uint32_t m_sends = 0;
     std::uint32_t m_connectFailures = 0;
     bool m_mayHaveRun = false; ///< a replica may have run the request
-    bool m_hasBegun = false; ///< part of a stream has gone to the caller
-    std::optional<std::uint64_t> m_lastEventId; ///< last event passed on
+    bool m_hasStreamStarted = false; ///< the caller has been sent part of a stream
+    std::optional<std::uint64_t> m_lastEventId; ///< last event sent to the caller
     bool m_isFinished = false;
     loop_timer m_timer;
 
-    /// Replicas that may be tried in vain, as none of these tries is an arrival.
-    static constexpr std::uint32_t kMostConnectFailures = 4;
-    /// Bytes of a stream that wait for a slow caller before the replica is slowed down.
-    static constexpr std::size_t kCallerBacklogBytes = 128U << 10U;
+    /// Failed connection attempts that don't count as sends, because the request reached no replica.
+    static constexpr std::uint32_t kMaxConnectFailures = 4;
+    /// Stream bytes buffered for a slow caller before reading from the replica is paused.
+    static constexpr std::size_t kMaxCallerBacklogBytes = 128U << 10U;
 };
 
 } // namespace foxtaildyke
--- a/src/gateway_exchange_responses.cpp
+++ b/src/gateway_exchange_responses.cpp
@@ -1,4 +1,4 @@
-// One request on its way: answers of replicas and what follows them; see gateway_exchange_p.h.
+// Processing of one request: handling of replica responses; see gateway_exchange_p.h.
 #include "gateway_exchange_p.h"
 
 #include "http_status_p.h"
@@ -15,20 +15,20 @@
 constexpr int kFirstRedirect = 300;
 constexpr int kServerError = 500;
 
-/// Longest answer of a plain call that is held until it is whole.
-constexpr std::size_t kMostBodyBytes = 16U << 20U;
+/// Largest non-streamed response; such a response is buffered until it is complete.
+constexpr std::size_t kMaxBodyBytes = 16U << 20U;
 
-/// Earliest and latest time after which a refused caller may come back; spread so that callers don't return together.
-constexpr double kLeastRetryAfterS = 0.3;
-constexpr double kMostRetryAfterS = 1.0;
+/// Range of the Retry-After value; it is randomized so that refused callers don't retry at the same time.
+constexpr double kMinRetryAfterS = 0.3;
+constexpr double kMaxRetryAfterS = 1.0;
 
 bool isSuccess(int status)
 {
     return status >= http_status::kOk && status < kFirstRedirect;
 }
 
-/// @returns whether a status promises that the request has not run.
-bool promisesNotRun(int status)
+/// @returns whether a status implies that the request has not run.
+bool impliesNotRun(int status)
 {
     return status == http_status::kRequestTimeout || status == http_status::kMisdirectedRequest
         || status == http_status::kTooManyRequests || status == http_status::kServiceUnavailable;
@@ -39,7 +39,7 @@
 struct gateway_exchange::refusal_row {
     int status;
     std::string_view reason; ///< in logs and metrics
-    bool asksToReturn; ///< with a time after which to come back
+    bool hasRetryAfter; ///< the response has a Retry-After header
 };
 
 const gateway_exchange::refusal_row &gateway_exchange::rowOf(refusal reason)
@@ -58,9 +58,9 @@
 void gateway_exchange::onUpstreamHead(const message_head &head)
 {
     m_firstByteAt = suspendAwareNow();
-    m_answer = head;
-    m_state.replicas.recordFirstByte(m_replica, std::exchange(m_promptMs, 0));
-    const bool isUsable = !head.header(m_state.headerNames.stamp).empty() && head.header("Content-Encoding").empty();
+    m_response = head;
+    m_state.replicas.noteFirstByte(m_replica, std::exchange(m_promptMs, 0));
+    const bool isUsable = !head.header(m_state.dialect.stamp).empty() && head.header("Content-Encoding").empty();
     if (!isSuccess(head.status) || !isUsable)
         return;
     if (const auto model = escalation(head))
@@ -70,7 +70,7 @@
 
 std::optional<std::size_t> gateway_exchange::escalation(const message_head &head) const
 {
-    if (m_route->models.empty() || m_hasBegun)
+    if (m_route->models.empty() || m_hasStreamStarted)
         return std::nullopt;
     cascade_step step;
     step.models = m_route->models.size();
@@ -92,30 +92,30 @@
     m_mayHaveRun = true;
     closeAttempt(true);
     m_model = model;
-    m_tried.clear(); // the same replica has read the prompt and may well run the larger model
+    m_triedReplicas.clear(); // the same replica has processed the prompt and may be suitable for the larger model
     attempt();
 }
 
 void gateway_exchange::onUpstreamBody(std::string_view bytes)
 {
     if (!m_isStream) {
-        if (m_body.size() <= kMostBodyBytes)
+        if (m_body.size() <= kMaxBodyBytes)
             m_body.append(bytes);
         return;
     }
-    m_events.feed(bytes, [this](std::string_view event, std::optional<std::uint64_t> id) { passEvent(event, id); });
-    if (m_reply.pendingBytes() > kCallerBacklogBytes)
+    m_events.feed(bytes, [this](std::string_view event, std::optional<std::uint64_t> id) { forwardEvent(event, id); });
+    if (m_reply.pendingBytes() > kMaxCallerBacklogBytes)
         m_upstream->setReading(false);
 }
 
-void gateway_exchange::passEvent(std::string_view event, std::optional<std::uint64_t> id)
+void gateway_exchange::forwardEvent(std::string_view event, std::optional<std::uint64_t> id)
 {
     if (m_eventCount++ == 0)
         m_firstEventAt = suspendAwareNow();
-    // A resumed stream may begin with events that the caller has.
+    // A resumed stream may begin with events that the caller has already received.
     if (id && m_lastEventId && *id <= *m_lastEventId)
         return;
-    if (!m_hasBegun)
+    if (!m_hasStreamStarted)
         beginStream();
     m_reply.streamBytes(event);
     if (id)
@@ -124,9 +124,9 @@
 
 void gateway_exchange::beginStream()
 {
-    m_hasBegun = true;
-    m_state.metrics.recordFirstEvent(m_route->name, suspendAwareNow() - m_request.readAt);
-    m_reply.startStream(m_answer.status, forwardedResponseHeaders(m_answer));
+    m_hasStreamStarted = true;
+    m_state.metrics.noteFirstEvent(m_route->name, suspendAwareNow() - m_request.readAt);
+    m_reply.startStream(m_response.status, answerHeaders(m_response));
 }
 
 attempt_result gateway_exchange::classify(upstream_end end) const
@@ -137,18 +137,18 @@
         return attempt_result::unusable;
     if (end == upstream_end::broken)
         return attempt_result::broken;
-    if (m_answer.status == http_status::kMisdirectedRequest)
+    if (m_response.status == http_status::kMisdirectedRequest)
         return attempt_result::wrong_replica;
-    if (!m_answer.header(m_state.headerNames.notRun).empty())
+    if (!m_response.header(m_state.dialect.notRun).empty())
         return attempt_result::not_run;
-    if (m_answer.status >= kServerError)
+    if (m_response.status >= kServerError)
         return attempt_result::server_error;
-    // The caller has the beginning of a stream; nothing else can follow it.
-    if (m_hasBegun && !m_isStream)
+    // The caller has received the beginning of a stream; only events of that stream can follow.
+    if (m_hasStreamStarted && !m_isStream)
         return attempt_result::unusable;
-    const bool isWhole = m_body.size() <= kMostBodyBytes && m_answer.header("Content-Encoding").empty();
-    const bool isStamped = !m_answer.header(m_state.headerNames.stamp).empty();
-    if (!isWhole || (isSuccess(m_answer.status) && !isStamped) || promisesNotRun(m_answer.status))
+    const bool isComplete = m_body.size() <= kMaxBodyBytes && m_response.header("Content-Encoding").empty();
+    const bool isStamped = !m_response.header(m_state.dialect.stamp).empty();
+    if (!isComplete || (isSuccess(m_response.status) && !isStamped) || impliesNotRun(m_response.status))
         return attempt_result::unusable;
     return attempt_result::answered;
 }
@@ -161,14 +161,14 @@
     if (result == attempt_result::wrong_replica || result == attempt_result::not_connected)
         m_state.replicas.recordUnreachable(m_replica, suspendAwareNow());
     closeAttempt(result == attempt_result::answered);
-    follow(result);
+    handleAttemptResult(result);
 }
 
 void gateway_exchange::recordAttempt(attempt_result result)
 {
     const auto now = suspendAwareNow();
-    m_state.metrics.recordAttempt(m_service, m_replicaVersion, nameOf(result));
-    noteVersionAnswer(result);
+    m_state.metrics.noteAttempt(m_service, m_replicaVersion, nameOf(result));
+    recordVersionResponse(result);
     if (result == attempt_result::answered)
         return;
     m_state.log.write("attempt_failed",
@@ -176,31 +176,31 @@
                        {"upstream", m_replica},
                        {"version", m_replicaVersion},
                        {"result", nameOf(result)},
-                       {"status", m_answer.status},
+                       {"status", m_response.status},
                        {"ms", (now - m_sentAt).count() / 1000},
                        {"sends", m_sends}},
                       log_subject::request);
 }
 
-void gateway_exchange::noteVersionAnswer(attempt_result result)
+void gateway_exchange::recordVersionResponse(attempt_result result)
 {
     if (result != attempt_result::answered && result != attempt_result::server_error)
         return;
     const auto now = suspendAwareNow();
     const std::string stratum =
         m_route->models.empty() ? m_route->name : m_route->name + '/' + m_route->models[m_model];
-    version_response answer;
-    answer.service = m_service;
-    answer.version = m_replicaVersion;
-    answer.stratum = stratum;
-    answer.replica = m_replica;
-    answer.isFailure = result == attempt_result::server_error;
-    constexpr std::uint32_t kEventsForPace = 3;
-    if (m_route->retryRule != retry_rule::stream)
-        answer.latency = now - m_sentAt;
-    else if (m_eventCount >= kEventsForPace)
-        answer.latency = (now - *m_firstEventAt) / (m_eventCount - 1);
-    m_state.rollouts.recordResponse(answer);
+    version_answer response;
+    response.service = m_service;
+    response.version = m_replicaVersion;
+    response.stratum = stratum;
+    response.replica = m_replica;
+    response.isFailure = result == attempt_result::server_error;
+    constexpr std::uint32_t kMinEventsForPace = 3;
+    if (m_route->repeats != repeat_rule::stream)
+        response.latency = now - m_sentAt;
+    else if (m_eventCount >= kMinEventsForPace)
+        response.latency = (now - *m_firstEventAt) / (m_eventCount - 1);
+    m_state.rollouts.noteAnswer(response);
 }
 
 void gateway_exchange::closeAttempt(std::optional<bool> isGood)
@@ -209,53 +209,53 @@
     m_upstream.reset();
 }
 
-void gateway_exchange::follow(attempt_result result)
+void gateway_exchange::handleAttemptResult(attempt_result result)
 {
     attempt_outcome facts;
     facts.result = result;
     facts.mayRetry = m_route->mayRetry();
     facts.mayHaveRun = m_mayHaveRun;
-    facts.hasCallerBytes = m_hasBegun;
+    facts.hasCallerBytes = m_hasStreamStarted;
     facts.maxSends = m_route->maxAttempts;
-    facts.left = left();
-    if (result == attempt_result::not_connected && ++m_connectFailures <= kMostConnectFailures)
-        --m_sends; // no replica has seen it
+    facts.left = remainingTime();
+    if (result == attempt_result::not_connected && ++m_connectFailures <= kMaxConnectFailures)
+        --m_sends; // no replica has received the request
     facts.sends = m_sends;
-    repeat(result, facts);
+    retryOrFinish(result, facts);
 }
 
-void gateway_exchange::repeat(attempt_result result, attempt_outcome facts)
+void gateway_exchange::retryOrFinish(attempt_result result, attempt_facts facts)
 {
-    auto step = nextStepAfter(facts);
-    const bool isArrival = result != attempt_result::not_connected;
-    if (step == next_step::retry && isArrival
-        && !m_state.budget.tryConsumeRetry(m_service, retry_reason::failure, suspendAwareNow())) {
+    auto step = stepAfter(facts);
+    const bool hasReachedReplica = result != attempt_result::not_connected;
+    if (step == next_step::try_again && hasReachedReplica
+        && !m_state.budget.takeRepeat(m_service, repeat_reason::failure, suspendAwareNow())) {
         facts.sends = facts.maxSends;
         step = nextStepAfter(facts);
     }
     switch (step) {
     case next_step::pass_on:
-        return passOn();
-    case next_step::retry:
+        return forwardResponse();
+    case next_step::try_again:
         return attempt();
     case next_step::refuse:
         return refuse(refusal::not_run);
     case next_step::cut_off:
-        return cutOff(nameOf(result));
+        return abortResponse(nameOf(result));
     default:
         return refuse(refusal::failed);
     }
 }
 
-void gateway_exchange::passOn()
+void gateway_exchange::forwardResponse()
 {
-    // A status that promises "not run" without the replica's word for it must not reach the caller.
-    if (promisesNotRun(m_answer.status))
+    // A status that implies "not run" must not reach the caller unless the replica stated that the request has not run.
+    if (impliesNotRun(m_response.status))
         return refuse(refusal::failed);
-    finish(m_answer.status, "answered");
+    finish(m_response.status, "answered");
     if (!m_isStream)
-        return m_reply.replyWhole(m_answer.status, forwardedResponseHeaders(m_answer), m_body);
-    if (!m_hasBegun)
+        return m_reply.replyWhole(m_response.status, answerHeaders(m_response), m_body);
+    if (!m_hasStreamStarted)
         beginStream();
     m_reply.streamBytes(m_events.rest());
     m_reply.endStream();
@@ -267,21 +267,21 @@
     finish(row.status, row.reason);
     http_headers headers;
     if (!m_facts.id.empty())
-        headers.emplace_back(m_state.headerNames.requestId, m_facts.id);
-    if (row.asksToReturn)
+        headers.emplace_back(m_state.dialect.requestId, m_facts.id);
+    if (row.hasRetryAfter)
         headers.emplace_back("Retry-After", retryAfter());
     m_reply.replyWhole(row.status, headers, {});
 }
 
-void gateway_exchange::cutOff(std::string_view reason)
+void gateway_exchange::abortResponse(std::string_view reason)
 {
-    finish(m_answer.status, reason);
+    finish(m_response.status, reason);
     m_reply.abort();
 }
 
 std::string gateway_exchange::retryAfter()
 {
-    std::uniform_real_distribution<double> spread(kLeastRetryAfterS, kMostRetryAfterS);
+    std::uniform_real_distribution<double> spread(kMinRetryAfterS, kMaxRetryAfterS);
     std::array<char, 16> text{};
     const auto end = std::to_chars(text.begin(), text.end(), spread(m_state.random), std::chars_format::fixed, 2).ptr;
     return {text.begin(), end};
--- a/src/gateway_metrics.cpp
+++ b/src/gateway_metrics.cpp
@@ -1,4 +1,4 @@
-// Metrics of the gateway through prometheus-cpp; see gateway_metrics_p.h.
+// Metrics of the gateway, implemented with prometheus-cpp; see gateway_metrics_p.h.
 #include "gateway_metrics_p.h"
 
 #include <prometheus/counter.h>
@@ -19,7 +19,7 @@
 using prometheus::Histogram;
 using prometheus::Registry;
 
-/// Bounds in seconds, from a plain call to the longest stream.
+/// Bucket bounds in seconds, from a non-streamed call to the longest stream.
 const Histogram::BucketBoundaries kDurationBounds{0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 25};
 
 Family<Counter> &counter(Registry &registry, const char *name, const char *help)
--- a/src/gateway_settings.cpp
+++ b/src/gateway_settings.cpp
@@ -19,10 +19,10 @@
     std::string_view name;
     setting_member member;
     std::string_view unit;
-    double least = 0;
-    double most = 0;
+    double minimum = 0;
+    double maximum = 0;
     bool required = false;
-    std::string_view meaning;
+    std::string_view description;
 };
 
 using g = gateway_settings;
@@ -65,7 +65,7 @@
     return {code, std::string(kSection) + '/' + std::string(key)};
 }
 
-std::optional<double> numberOf(const std::string &text)
+std::optional<double> parseDouble(const std::string &text)
 {
     double value = 0;
     const auto [end, failure] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -76,7 +76,7 @@
 
 bool isInRange(const setting_key &key, double value)
 {
-    return value >= key.least && value <= key.most;
+    return value >= key.minimum && value <= key.maximum;
 }
 
 bool assignText(gateway_settings &settings, const setting_key &key, std::string gateway_settings::*member,
@@ -113,13 +113,13 @@
     return text == "true" || text == "false";
 }
 
-std::chrono::milliseconds timeOf(const setting_key &key, double value)
+std::chrono::milliseconds toMilliseconds(const setting_key &key, double value)
 {
     constexpr double kMsPerSecond = 1000;
     return std::chrono::milliseconds{static_cast<std::int64_t>(key.unit == "s" ? value * kMsPerSecond : value)};
 }
 
-/// @returns whether the text is a value of the key.
+/// @returns whether the text is a valid value for the key.
 bool assign(gateway_settings &settings, const setting_key &key, const std::string &text)
 {
     if (const auto *member = std::get_if<std::string g::*>(&key.member))
@@ -130,7 +130,7 @@
         return assignEndpoints(settings, *member, text);
     if (const auto *member = std::get_if<bool g::*>(&key.member))
         return assignFlag(settings, *member, text);
-    const auto value = numberOf(text);
+    const auto value = parseDouble(text);
     if (!value || !isInRange(key, *value))
         return false;
     if (const auto *member = std::get_if<double g::*>(&key.member))
@@ -138,7 +138,7 @@
     else if (const auto *member = std::get_if<std::uint32_t g::*>(&key.member))
         settings.*(*member) = static_cast<std::uint32_t>(*value);
     else if (const auto *member = std::get_if<std::chrono::milliseconds g::*>(&key.member))
-        settings.*(*member) = timeOf(key, *value);
+        settings.*(*member) = toMilliseconds(key, *value);
     return true;
 }
 
@@ -164,7 +164,7 @@
     std::string text;
     for (const auto &key : kKeys) {
         text.append(key.name).append(" (").append(key.unit).append(key.required ? ", required): " : "): ");
-        text.append(key.meaning).append("\n");
+        text.append(key.description).append("\n");
     }
     return text;
 }
--- a/src/gateway_settings_p.h
+++ b/src/gateway_settings_p.h
@@ -1,5 +1,5 @@
-// Settings of the gateway process: one table of keys with unit, range and default, from which the parser, the checks
-// and the help text are made.
+// Settings of the gateway process. A single table of keys with unit and range drives the parser, the validation and
+// the help text.
 #pragma once
 
 #include "model_cascade_p.h"
@@ -12,16 +12,16 @@
 struct gateway_settings {
     std::string host;
     std::string failureDomain;
-    http_endpoint listen; ///< callers
+    http_endpoint listen; ///< for callers
     http_endpoint readiness;
-    http_endpoint metrics; ///< port 0 with an empty address: not served
-    http_endpoint platform; ///< store
-    http_endpoint relay; ///< where this host would read the store for others; port 0: nowhere
-    std::vector<http_endpoint> relays; ///< hosts that may do so
+    http_endpoint metrics; ///< empty address: metrics are not served
+    http_endpoint platform; ///< address of the store
+    http_endpoint relay; ///< on which this host relays the store to others; port 0: this host is no relay
+    std::vector<http_endpoint> relays; ///< hosts that may act as relay
     std::string log = "-";
     std::uint32_t logLinesPerSecond = 400;
     std::chrono::milliseconds grace{8000}; ///< from SIGTERM to SIGKILL
-    std::chrono::milliseconds keyLease{5000}; ///< longest age of the configuration under which a key is accepted
+    std::chrono::milliseconds keyLease{5000}; ///< maximum age of the configuration for accepting keys
     std::chrono::milliseconds configWatch{2000};
     std::chrono::milliseconds replicaWatch{10000};
     std::chrono::milliseconds lapseGrace{1800};
@@ -32,11 +32,12 @@
     bool startsSmall = true;
 };
 
-/// Checks the section `[gateway]`. Unknown keys are ignored, so that older programs start with newer settings.
-/// @returns the settings, or the first error with the field as "gateway/key".
+/// Parses and validates the section `[gateway]`. Unknown keys are ignored, so that older programs start with newer
+/// settings.
+/// @returns the settings, or the first error, with the field as "gateway/key".
 [[nodiscard]] result<gateway_settings> checkGatewaySettings(const ini_sections &sections);
 
-/// @returns one line for each key: name, unit, range, default, meaning.
+/// @returns one line per key: name, unit, whether it is required, and description.
 [[nodiscard]] std::string gatewaySettingsReference();
 
 } // namespace foxtaildyke
--- a/src/gateway_task.cpp
+++ b/src/gateway_task.cpp
@@ -1,4 +1,4 @@
-// The gateway of a host; see gateway_task_p.h.
+// Gateway of one host; see gateway_task_p.h.
 #include "gateway_task_p.h"
 
 #include "http_status_p.h"
@@ -13,9 +13,10 @@
 namespace
 {
 
-constexpr int kBacklog = 1024; ///< connections that wait to be accepted
-/// Pause between two looks at roll-outs; hosts are spread over as much again, so that few of them write the same state.
-constexpr std::chrono::milliseconds kRolloutPause{500};
+constexpr int kListenBacklog = 1024; ///< connections waiting to be accepted
+/// Interval between roll-out checks. Hosts add a random delay of up to the same length, so that few of them write the
+/// same state.
+constexpr std::chrono::milliseconds kRolloutCheckInterval{500};
 
 } // namespace
 
@@ -69,7 +70,7 @@
         return callers.error();
     m_log.write("start", {{"failure_domain", m_settings.failureDomain}, {"build", FOXTAILDYKE_VERSION}});
     feed.start(*this);
-    m_tick.start(kTick);
+    m_tick.start(kTickInterval);
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
@@ -83,7 +84,7 @@
         static_cast<gateway_task *>(self)->onAccept(socket);
     };
     m_listener = evconnlistener_new_bind(m_loop.base(), accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
-                                         kBacklog, reinterpret_cast<sockaddr *>(&address), sizeof(address));
+                                         kListenBacklog, reinterpret_cast<sockaddr *>(&address), sizeof(address));
     if (!m_listener)
         return error{error_code::io_failure, m_settings.listen.address};
     return BOOST_OUTCOME_V2_NAMESPACE::success();
@@ -111,7 +112,7 @@
     const auto found = m_connections.find(&connection);
     if (found == m_connections.end())
         return;
-    // The connection calls from one of its own handlers; it is destroyed when that has returned.
+    // The connection calls this from one of its own handlers, so it is destroyed after that handler has returned.
     auto owned = std::make_shared<std::unique_ptr<caller_connection>>(std::move(found->second));
     m_connections.erase(found);
     m_loop.after(std::chrono::microseconds{0}, [owned] { owned->reset(); });
@@ -243,14 +244,14 @@
         advanceRollouts();
     if (m_isDraining)
         finishStop();
-    m_tick.start(kTick);
+    m_tick.start(kTickInterval);
 }
 
 void gateway_task::advanceRollouts()
 {
     const auto now = suspendAwareNow();
-    std::uniform_int_distribution<std::int64_t> spread(0, kRolloutPause.count());
-    m_nextRolloutCheck = now + kRolloutPause + std::chrono::milliseconds{spread(m_state.random)};
+    std::uniform_int_distribution<std::int64_t> spread(0, kRolloutCheckInterval.count());
+    m_nextRolloutCheck = now + kRolloutCheckInterval + std::chrono::milliseconds{spread(m_state.random)};
     const auto next = m_state.rollouts.nextState(now);
     if (!next || !m_feed)
         return;
@@ -268,13 +269,14 @@
     if (m_isDraining)
         return;
     m_isDraining = true;
-    m_stopAt = suspendAwareNow();
+    m_stopStartedAt = suspendAwareNow();
     m_log.write("stop_begun", {{"connections", m_connections.size()}});
 }
 
 void gateway_task::logReload()
 {
-    m_log.write("reload", {{"detail", "the settings file has changed; it holds from the next start"}});
+    m_log.write("reload",
+                {{"detail", "the settings file has changed; the new settings take effect at the next start"}});
 }
 
 void gateway_task::closeListener()
@@ -283,14 +285,14 @@
         evconnlistener_free(std::exchange(m_listener, nullptr));
 }
 
-bool gateway_task::hasWork() const
+bool gateway_task::hasActiveRequests() const
 {
     return std::ranges::any_of(m_connections, [](const auto &entry) { return !entry.first->isIdle(); });
 }
 
 void gateway_task::finishStop()
 {
-    const auto elapsed = suspendAwareNow() - m_stopAt;
+    const auto elapsed = suspendAwareNow() - m_stopStartedAt;
     if (elapsed < kListenAfterStop)
         return;
     closeListener();
@@ -298,7 +300,7 @@
     std::ranges::transform(m_connections, std::back_inserter(open), [](const auto &entry) { return entry.first; });
     for (auto *connection : open)
         connection->closeIfIdle();
-    if (hasWork() && elapsed < m_settings.grace - kStopMargin)
+    if (hasActiveRequests() && elapsed < m_settings.grace - kStopMargin)
         return;
     m_log.write("stop", {{"open_connections", m_connections.size()}});
     m_loop.stop();
--- a/src/gateway_task_p.h
+++ b/src/gateway_task_p.h
@@ -1,5 +1,5 @@
-// The gateway of a host: listens for callers, answers the balancer's readiness checks, follows what the platform
-// publishes, and stops without cutting off requests in flight.
+// Gateway of one host: listens for callers, serves the balancer's readiness checks, applies the updates that the
+// platform publishes, and stops gracefully without aborting requests in flight.
 #pragma once
 
 #include "fleet_feed_p.h"
@@ -20,20 +20,20 @@
     gateway_task(const gateway_task &) = delete;
     gateway_task &operator=(const gateway_task &) = delete;
 
-    /// Starts to listen and to follow the feed.
-    /// @returns error_code::io_failure with the address that can't be listened on.
+    /// Starts listening and subscribes to the feed.
+    /// @returns error_code::io_failure with the address on which listening failed.
     [[nodiscard]] result<void> start(fleet_feed &feed);
 
-    /// Begins a graceful stop; the loop ends when the last request has been answered.
+    /// Begins a graceful stop; the loop ends when the last request has completed or the grace period is nearly over.
     void stop();
 
-    /// @returns the port for callers, and that of the readiness checks; they differ from the settings where those say
-    /// 0.
+    /// @returns the bound port for callers, and that for readiness checks; they differ from the settings where those
+    /// specify port 0.
     [[nodiscard]] std::uint16_t callerPort() const;
     [[nodiscard]] std::uint16_t readinessPort() const { return m_readinessPort; }
 
-    /// Notes that the settings file has changed; new settings hold from the next start.
-    void logReload();
+    /// Logs that the settings file has changed; new settings take effect at the next start.
+    void noteReload();
 
 private:
     [[nodiscard]] const caller_limits &limits() const override;
@@ -67,14 +67,14 @@
     void advanceRollouts();
     void closeListener();
     void finishStop();
-    [[nodiscard]] bool hasWork() const;
+    [[nodiscard]] bool hasActiveRequests() const;
 
-    /// Time after SIGTERM for which new connections are taken: two missed readiness checks, one a second, and one more
-    /// for connections on their way.
+    /// Time after SIGTERM during which new connections are accepted: two failed readiness checks at one per second,
+    /// plus time for connections that are already being established.
     static constexpr std::chrono::milliseconds kListenAfterStop{2600};
-    /// Time before the end of the grace period at which the process ends whatever is left.
+    /// Time before the end of the grace period at which the process exits even if requests are still in flight.
     static constexpr std::chrono::milliseconds kStopMargin{250};
-    static constexpr std::chrono::milliseconds kTick{250};
+    static constexpr std::chrono::milliseconds kTickInterval{250};
 
     event_loop &m_loop;
     gateway_settings m_settings;
@@ -93,7 +93,7 @@
     std::uint16_t m_readinessPort = 0;
     bool m_isDraining = false;
     bool m_wasReady = false;
-    instant m_stopAt{}; ///< when the stop began
+    instant m_stopStartedAt{};
     instant m_nextRolloutCheck{};
 };
 
--- a/src/header_text.cpp
+++ b/src/header_text.cpp
@@ -1,4 +1,4 @@
-// Text of HTTP headers; see header_text_p.h.
+// Parsing of HTTP header text; see header_text_p.h.
 #include "header_text_p.h"
 
 #include <algorithm>
--- a/src/header_text_p.h
+++ b/src/header_text_p.h
@@ -1,4 +1,4 @@
-// Text of HTTP headers: names, lists and numbers.
+// Parsing of HTTP header text: names, lists and numbers.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 namespace foxtaildyke
 {
 
-/// @returns whether two header names or tokens are equal; ASCII case is ignored.
+/// @returns whether two header names or tokens are equal, ignoring ASCII case.
 [[nodiscard]] bool isSameHeader(std::string_view left, std::string_view right);
 
-/// @returns the text without spaces and tabs around it.
+/// @returns the text without leading and trailing spaces and tabs.
 [[nodiscard]] std::string_view trimmed(std::string_view text);
 
-/// @returns the entries of a list between commas, trimmed, without empty ones.
+/// @returns the non-empty entries of a comma-separated list, trimmed.
 [[nodiscard]] std::vector<std::string> splitList(std::string_view list);
 
-/// @returns the number, or nothing where the text is anything else than decimal digits.
+/// @returns the number, or nothing if the text doesn't consist of decimal digits only or the value is out of range.
 [[nodiscard]] std::optional<std::uint64_t> parseNumber(std::string_view text);
 
 } // namespace foxtaildyke
--- a/src/http_parser.cpp
+++ b/src/http_parser.cpp
@@ -26,7 +26,7 @@
                                [token](const std::string &entry) { return isSameHeader(entry, token); });
 }
 
-/// @returns the second word of a request line; the parser's own hooks leave out part of a target with a query.
+/// @returns the request target from the request line; libevhtp's hooks omit part of a target that has a query.
 std::string_view targetOf(std::string_view head)
 {
     const auto line = head.substr(0, head.find("\r\n"));
@@ -74,7 +74,7 @@
         return 0;
     };
     table.hdr_val = [](htparser *parser, const char *data, std::size_t size) {
-        // A line that begins with a colon has a value and no name.
+        // A header line that begins with a colon yields a value without a name.
         if (headOf(parser).headers.empty())
             return kStopParsing;
         headOf(parser).headers.back().second = trimmed({data, size});
@@ -85,15 +85,15 @@
 
 std::size_t http_parser::feed(std::string_view bytes, const body_sink &onBody, bool stopAfterHead)
 {
-    std::size_t used = 0;
+    std::size_t consumed = 0;
     if (m_state == parse_state::head) {
-        used = consumeHead(bytes);
+        consumed = takeHead(bytes);
         if (stopAfterHead || m_state != parse_state::body)
-            return used;
+            return consumed;
     }
-    if (m_state == parse_state::body && used < bytes.size())
-        used += consumeBody(bytes.substr(used), onBody);
-    return used;
+    if (m_state == parse_state::body && consumed < bytes.size())
+        consumed += takeBody(bytes.substr(consumed), onBody);
+    return consumed;
 }
 
 std::size_t http_parser::consumeHead(std::string_view bytes)
@@ -119,17 +119,17 @@
     table.on_hdrs_complete = [](htparser *) {
         return 0;
     };
-    // A message without a body ends with its head; the hook stops the parser before it looks for another one.
+    // A message without a body ends with its head; the hook stops the parser before it starts on another message.
     table.on_msg_complete = [](htparser *) {
         return kStopParsing;
     };
     htparser_set_userdata(m_parser.get(), &m_head);
-    const auto used = htparser_run(m_parser.get(), &table, m_headBytes.data(), m_headBytes.size());
+    const auto consumed = htparser_run(m_parser.get(), &table, m_headBytes.data(), m_headBytes.size());
     const auto failure = htparser_get_error(m_parser.get());
     const bool hasEnded = failure == htparse_error_user;
     if (m_type == message_type::request)
         m_head.target = targetOf(m_headBytes);
-    if (used != m_headBytes.size() || (failure != htparse_error_none && !hasEnded) || !readFraming()) {
+    if (consumed != m_headBytes.size() || (failure != htparse_error_none && !hasEnded) || !readFraming()) {
         m_state = parse_state::malformed;
         return;
     }
@@ -142,7 +142,7 @@
     m_state = hasEnded && !m_untilClose ? parse_state::complete : parse_state::body;
 }
 
-/// Reads the length of the message from its headers. @returns whether it is unambiguous.
+/// Determines the message's body length from its headers. @returns whether it is valid and unambiguous.
 bool http_parser::readFraming()
 {
     for (const auto &[name, value] : m_head.headers) {
@@ -172,7 +172,7 @@
     auto table = hooks();
     table.hdr_key = [](htparser *, const char *, std::size_t) {
         return 0;
-    }; // trailers are dropped
+    }; // trailers are discarded
     table.hdr_val = table.hdr_key;
     table.body = [](htparser *parser, const char *data, std::size_t size) {
         (*static_cast<http_parser *>(htparser_get_userdata(parser))->m_onBody)({data, size});
@@ -184,13 +184,13 @@
     };
     m_onBody = &onBody;
     htparser_set_userdata(m_parser.get(), this);
-    const auto used = htparser_run(m_parser.get(), &table, bytes.data(), bytes.size());
+    const auto consumed = htparser_run(m_parser.get(), &table, bytes.data(), bytes.size());
     m_onBody = nullptr;
     if (m_isDone)
         m_state = parse_state::complete;
-    else if (htparser_get_error(m_parser.get()) != htparse_error_none || used != bytes.size())
+    else if (htparser_get_error(m_parser.get()) != htparse_error_none || consumed != bytes.size())
         m_state = parse_state::malformed;
-    return used;
+    return consumed;
 }
 
 bool http_parser::finishAtClose()
--- a/src/http_parser_p.h
+++ b/src/http_parser_p.h
@@ -1,5 +1,5 @@
-// Incremental HTTP/1.1 parser over the one that libevhtp ships: heads of requests and responses, and bodies by length,
-// in chunks or up to the end of the connection. Rejects messages whose length is ambiguous.
+// Incremental HTTP/1.1 parser based on the parser of libevhtp: heads of requests and responses, and bodies delimited by
+// length, by chunked encoding or by the end of the connection. Rejects messages whose length is ambiguous.
 #pragma once
 
 #include "header_text_p.h"
@@ -20,16 +20,16 @@
     http_headers headers; ///< in the order received
     std::optional<std::uint64_t> length; ///< Content-Length
     bool isChunked = false;
-    bool keepAlive = true; ///< version and Connection header allow another message on the connection
+    bool keepAlive = true; ///< HTTP version and Connection header allow another message on the connection
 
-    /// @returns the value of the first header with this name (ASCII case ignored), or empty.
+    /// @returns the value of the first header with this name (ignoring ASCII case), or an empty string.
     [[nodiscard]] std::string_view header(std::string_view name) const;
 };
 
 enum class parse_state : std::uint8_t {
-    head, ///< the head is not complete
+    head, ///< the head is incomplete
     body,
-    complete, ///< whole message; bytes after it were not consumed
+    complete, ///< the message is complete; bytes after it were not consumed
     malformed,
     head_too_large,
     count
@@ -46,16 +46,16 @@
     /// Starts a new message.
     void reset();
 
-    /// Largest head in bytes; beyond it the state becomes head_too_large.
+    /// Sets the maximum head size; a larger head leads to the state head_too_large.
     void setHeadLimit(std::size_t bytes) { m_headLimit = bytes; }
 
-    /// Consumes bytes up to the end of the head, or of the message.
-    /// @param stopAfterHead returns as soon as the head is complete, so that the caller can look at it first.
+    /// Consumes bytes up to the end of the head (with stopAfterHead) or of the message.
+    /// @param stopAfterHead returns as soon as the head is complete, so that it can be inspected before the body.
     /// @returns the number of bytes consumed.
     std::size_t feed(std::string_view bytes, const body_sink &onBody, bool stopAfterHead = false);
 
-    /// Tells that the peer closed its side in order.
-    /// @returns whether that completes the message: a response that ends with its connection.
+    /// Reports that the peer closed its side in an orderly way.
+    /// @returns whether the message is complete, which includes a response delimited by the end of the connection.
     bool finishAtClose();
 
     [[nodiscard]] parse_state state() const { return m_state; }
@@ -75,10 +75,10 @@
     std::size_t m_headLimit = 64U << 10U; ///< bytes
     parse_state m_state = parse_state::head;
     bool m_untilClose = false;
-    bool m_isDone = false; ///< the parser saw the end of the message
+    bool m_isDone = false; ///< the parser has reached the end of the message
     std::string m_headBytes;
     message_head m_head;
-    const body_sink *m_onBody = nullptr; ///< only during feed()
+    const body_sink *m_onBody = nullptr; ///< valid only during feed()
 };
 
 } // namespace foxtaildyke
--- a/src/http_status_p.h
+++ b/src/http_status_p.h
@@ -1,4 +1,4 @@
-// Status codes of HTTP that the programs send and tell apart (RFC 9110; 429 and 431: RFC 6585).
+// HTTP status codes that the programs send or distinguish (RFC 9110; 429 and 431: RFC 6585).
 #pragma once
 
 namespace foxtaildyke::http_status
