--- a/tests/gateway_harness.cpp
+++ b/tests/gateway_harness.cpp
@@ -1,4 +1,4 @@
-// Gateway between scripted replicas and callers; see gateway_harness.h.
+// Test harness for the gateway; see gateway_harness.h.
 #include "gateway_harness.h"
 
 #include "wire_names.h"
@@ -15,7 +15,7 @@
 {
 
 constexpr const char *kLoopback = "127.0.0.1";
-constexpr std::chrono::seconds kHangLimit{20};
+constexpr std::chrono::seconds kTestTimeout{20};
 
 http_endpoint anyPort()
 {
@@ -49,7 +49,7 @@
 struct scripted_replica::connection {
     connection(event_loop &loop, int socket, scripted_replica &owner)
         : replica(owner)
-        , timer(loop, [this] { answer(); })
+        , timer(loop, [this] { respond(); })
         , resetTimer(loop, [this] { reset(); })
         , stream(loop, socket,
                  stream_socket::handlers{.onConnected = {},
@@ -72,8 +72,8 @@
         while (!stream.received().empty() && !isOpen) {
             const bool wasHead = parser.state() == parse_state::head;
             stream.drop(parser.feed(stream.received(), onBody, wasHead));
-            if (wasHead && parser.state() == parse_state::body && replica.respondsAfterHead)
-                stream.write(replica.m_answer({parser.head(), {}}).bytes);
+            if (wasHead && parser.state() == parse_state::body && replica.answersHeads)
+                stream.write(replica.m_script({parser.head(), {}}).bytes);
             if (wasHead && parser.state() == parse_state::body)
                 continue;
             if (parser.state() != parse_state::complete)
@@ -86,12 +86,12 @@
             isOpen = true;
             replica.requests.push_back({parser.head(), std::exchange(body, {})});
             parser.reset();
-            script = replica.m_answer(replica.requests.back());
+            script = replica.m_script(replica.requests.back());
             timer.start(script.delay);
         }
     }
 
-    void answer()
+    void respond()
     {
         if (!isOpen)
             return;
@@ -103,7 +103,7 @@
 
     void onDrained()
     {
-        // A connection reports once that nothing is pending before anything was written.
+        // A new connection reports once that its buffer is drained, before anything was written.
         if (isOpen)
             return;
         if (script.resets)
@@ -121,16 +121,16 @@
     http_parser parser{message_type::request};
     std::string body;
     replica_script script;
-    bool isOpen = false; ///< a request waits for its answer
+    bool isOpen = false; ///< a request awaits its response
     loop_timer timer;
     loop_timer resetTimer;
     stream_socket stream;
 };
 
-scripted_replica::scripted_replica(event_loop &loop, std::string id, script answer)
+scripted_replica::scripted_replica(event_loop &loop, std::string id, script respond)
     : m_loop(loop)
     , m_id(std::move(id))
-    , m_answer(std::move(answer))
+    , m_script(std::move(respond))
 {
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -197,7 +197,7 @@
     const auto onBody = [this](std::string_view bytes) {
         responses.back().body.append(bytes);
     };
-    // Bytes that are no HTTP stay where they are; the last answer is then not whole.
+    // Bytes that are not HTTP stay in the buffer; the last response then remains incomplete.
     while (!m_socket->received().empty() && m_parser.state() != parse_state::malformed) {
         const bool wasHead = m_parser.state() == parse_state::head;
         m_socket->drop(m_parser.feed(m_socket->received(), onBody, wasHead));
@@ -218,7 +218,7 @@
     settings.listen = anyPort();
     settings.readiness = anyPort();
     settings.log = "/dev/null";
-    settings.retrySlack = 160; // ten repeats for this host
+    settings.retrySlack = 160; // 10 retries for this host
     return settings;
 }
 
@@ -255,12 +255,12 @@
 
 bool test_loop::runUntil(const std::function<bool()> &condition)
 {
-    const auto limit = suspendAwareNow() + kHangLimit;
-    loop_timer pulse(loop, [] {});
+    const auto limit = suspendAwareNow() + kTestTimeout;
+    loop_timer wakeup(loop, [] {});
     while (!condition()) {
         if (suspendAwareNow() > limit)
             return false;
-        pulse.start(std::chrono::milliseconds(5));
+        wakeup.start(std::chrono::milliseconds(5));
         event_base_loop(loop.base(), EVLOOP_ONCE);
     }
     return true;
--- a/tests/gateway_harness.h
+++ b/tests/gateway_harness.h
@@ -1,4 +1,5 @@
-// A gateway on the loopback address between scripted replicas and scripted callers, with a feed that the test drives.
+// Test harness: a gateway on the loopback address between scripted replicas and scripted callers, with a feed that the
+// test controls.
 #pragma once
 
 #include "gateway_task_p.h"
@@ -10,7 +11,7 @@
 namespace foxtaildyke
 {
 
-/// Feed whose content the test sets.
+/// Feed whose content is set by the test.
 struct scripted_feed : fleet_feed {
     fleet_listener *listener = nullptr;
     std::vector<rollout_order> written;
@@ -19,33 +20,33 @@
     void writeRollout(const rollout_order &order) override { written.push_back(order); }
 };
 
-/// A request as a replica received it.
+/// A request as received by a replica.
 struct received_request {
     message_head head;
     std::string body;
 };
 
-/// What a replica does with a request.
+/// Scripted reaction of a replica to a request.
 struct replica_script {
-    std::string bytes; ///< answer as it goes on the wire
-    bool closes = false; ///< closes the connection in order after the bytes
-    bool resets = false; ///< resets it
+    std::string bytes; ///< response as sent on the wire
+    bool closes = false; ///< closes the connection gracefully after the bytes
+    bool resets = false; ///< resets the connection after the bytes
     std::chrono::milliseconds delay{0}; ///< before the bytes
 };
 
-/// A replica that answers each request by a script.
+/// A replica that responds to each request as scripted.
 class scripted_replica
 {
 public:
     using script = std::function<replica_script(const received_request &)>;
 
-    scripted_replica(event_loop &loop, std::string id, script answer);
+    scripted_replica(event_loop &loop, std::string id, script respond);
     ~scripted_replica();
 
-    std::vector<received_request> requests; ///< all that were received
+    std::vector<received_request> requests; ///< all requests received
     std::size_t connectionsLost = 0; ///< closed by the gateway while a request was open
-    bool respondsAfterHead = false; ///< answers before the body of a request is there, and reads on
-    /// @returns bytes of answers that the gateway has not taken yet.
+    bool answersHeads = false; ///< responds before the request body has arrived, and continues reading
+    /// @returns the number of response bytes that the gateway has not yet received.
     [[nodiscard]] std::size_t pendingBytes() const;
     [[nodiscard]] replica_entry entry(const std::string &service, const std::string &version = "v1") const;
 
@@ -56,20 +57,20 @@
 
     event_loop &m_loop;
     std::string m_id;
-    script m_answer;
+    script m_script;
     evconnlistener *m_listener = nullptr;
     std::uint16_t m_port = 0;
     std::vector<std::unique_ptr<connection>> m_connections;
 };
 
-/// An answer as a caller received it.
-struct received_response {
+/// A response as received by a caller.
+struct received_answer {
     message_head head;
     std::string body;
     bool isComplete = false;
 };
 
-/// A caller's connection.
+/// Connection of a caller.
 class scripted_caller
 {
 public:
@@ -91,15 +92,15 @@
     std::unique_ptr<stream_socket> m_socket;
 };
 
-/// An event loop that a test runs until something has happened.
+/// An event loop that a test runs until a condition is met.
 struct test_loop {
     event_loop loop;
 
-    /// Runs the loop until the condition holds. @returns false where it never does (the limit only ends a hanging
-    /// test).
+    /// Runs the loop until the condition is met. @returns false on timeout; the timeout exists only to end a hanging
+    /// test.
     bool runUntil(const std::function<bool()> &condition);
 
-    /// Runs the loop for a time.
+    /// Runs the loop for the given time.
     void runFor(std::chrono::milliseconds time);
 };
 
@@ -111,25 +112,26 @@
 
     static gateway_settings makeSettings();
 
-    /// Publishes a configuration with one route for each kind: /safe/, /once/, /stream/ and /sized/ to service "s".
+    /// @returns a configuration with one route of each kind to service "s": /safe/, /once/, /stream/ and /sized/.
     static std::shared_ptr<gateway_config> makeConfig(generation_number version = 1);
     void publish(const std::shared_ptr<gateway_config> &config);
     void publishReplicas(std::vector<replica_entry> replicas);
 };
 
-/// @returns a request with key, id and deadline.
+/// @returns a request with API key, id and deadline.
 [[nodiscard]] std::string requestText(const std::string &method, const std::string &target, const std::string &id,
                                       const std::string &moreHeaders = {}, const std::string &body = {});
 
-/// @returns a stamped answer with a length.
-[[nodiscard]] std::string responseText(int status, const std::string &id, const std::string &body,
-                                       const std::string &moreHeaders = {});
+/// @returns a response with stamp and Content-Length.
+[[nodiscard]] std::string answerText(int status, const std::string &id, const std::string &body,
+                                     const std::string &moreHeaders = {});
 
-/// @returns a refusal that states that the request has not run.
+/// @returns a refusal stating that the request has not run.
 [[nodiscard]] std::string notRunText(int status = 503);
 
-/// @returns a stamped event stream in chunks, with the events first to last; without its end where not whole.
-[[nodiscard]] std::string streamText(const std::string &id, int first, int last, bool isComplete = true,
+/// @returns a stamped event stream in chunked encoding with the events first to last; without the last chunk if not
+/// complete.
+[[nodiscard]] std::string streamText(const std::string &id, int first, int last, bool isWhole = true,
                                      const std::string &moreHeaders = {});
 
 /// @returns the text of the events first to last.
--- a/tests/gateway_process.cpp
+++ b/tests/gateway_process.cpp
@@ -1,4 +1,4 @@
-// The gateway's program as a process; see gateway_process.h.
+// The gateway program as a child process; see gateway_process.h.
 #include "gateway_process.h"
 
 #include <csignal>
@@ -132,17 +132,17 @@
 
 http_reply gateway_process::get(std::uint16_t port, const std::string &path)
 {
-    std::optional<http_reply> reply;
-    http_request call;
-    call.endpoint = {"127.0.0.1", port};
-    call.path = path;
+    std::optional<http_reply> response;
+    http_request request;
+    request.endpoint = {"127.0.0.1", port};
+    request.path = path;
     http_handlers handlers;
-    handlers.onDone = [&reply](const http_reply &done) {
-        reply = done;
+    handlers.onDone = [&response](const http_reply &received) {
+        response = received;
     };
-    m_client.start(std::move(call), std::move(handlers));
-    runUntil([&reply] { return reply.has_value(); });
-    return reply.value_or(http_reply{});
+    m_client.start(std::move(request), std::move(handlers));
+    runUntil([&response] { return response.has_value(); });
+    return response.value_or(http_reply{});
 }
 
 int gateway_process::readiness()
--- a/tests/gateway_process.h
+++ b/tests/gateway_process.h
@@ -1,5 +1,5 @@
-// The gateway's program as a process of its own, between a stand-in of the store, scripted replicas and scripted
-// callers that live in the test's process.
+// The gateway program as a child process, between a store stand-in, scripted replicas and scripted callers that run in
+// the test process.
 #pragma once
 
 #include "failure_support.h"
@@ -12,15 +12,15 @@
 class gateway_process : public test_loop
 {
 public:
-    /// @param moreSettings lines of the section [gateway] that go before the usual ones.
+    /// @param moreSettings lines of the section [gateway] that precede the default ones.
     explicit gateway_process(const std::string &moreSettings = {});
 
     standin_store store{loop};
     std::uint16_t callerPort = 0;
 
-    /// Starts the program; returns at once.
+    /// Starts the program without waiting for it.
     void start();
-    /// Starts the program and waits until it is ready. @returns whether it is.
+    /// Starts the program and waits until it is ready. @returns false on timeout.
     bool startReady();
 
     [[nodiscard]] testing::child_process &process() { return *m_process; }
@@ -28,20 +28,20 @@
     /// Runs the loop until the process ends. @returns its exit code.
     std::optional<int> waitExit();
 
-    /// Publishes the configuration of gateway_harness::makeConfig(), with the keys given.
+    /// Publishes the configuration of gateway_harness::makeConfig() with the given keys.
     void publish(generation_number version, const std::vector<std::string> &keys = {"key-1"});
-    /// Publishes it without the route /safe/.
+    /// Publishes the same configuration without the route /safe/.
     void publishWithoutSafe(generation_number version);
     void registerReplica(const scripted_replica &replica, const std::string &version = "v1",
                          const std::string &state = "ready", std::int64_t startedAtMs = 1'700'000'000'000);
 
-    /// Sends a request on a new connection. @returns its answer, or one that is not whole where the connection ended.
-    received_response sendRequest(const std::string &request);
-    /// @returns the status of GET on the readiness address; 0: no answer.
+    /// Sends a request on a new connection. @returns its response, which is incomplete if the connection ended early.
+    received_answer ask(const std::string &request);
+    /// @returns the status of a GET request to the readiness address; 0: no response.
     int readiness();
-    /// @returns the text of the metrics address.
+    /// @returns the response body of the metrics address.
     std::string metrics();
-    /// @returns whether the log has a line with both texts.
+    /// @returns whether the log has a line that contains both texts.
     [[nodiscard]] bool hasLogged(std::string_view first, std::string_view second) const;
     /// Waits until the log has such a line.
     bool waitForLog(std::string_view first, std::string_view second);
--- a/tests/test_http_parser.cpp
+++ b/tests/test_http_parser.cpp
@@ -1,4 +1,4 @@
-// HTTP parser: framing, limits, and input that is no HTTP.
+// Tests of the HTTP parser: framing, limits and malformed input.
 #include "http_parser_p.h"
 
 #include <doctest/doctest.h>
@@ -15,8 +15,8 @@
     std::string rest;
 };
 
-/// Feeds a message in pieces of a size, as it may come over a network.
-parsed parse(http_parser &parser, std::string_view text, std::size_t piece)
+/// Feeds a message in chunks of the given size, as it may arrive from a network.
+parsed parse(http_parser &parser, std::string_view text, std::size_t chunkSize)
 {
     parsed result{parse_state::head, {}, {}};
     const auto onBody = [&](std::string_view bytes) {
@@ -26,7 +26,7 @@
         return parser.state() == parse_state::head || parser.state() == parse_state::body;
     };
     while (!text.empty() && isOpen()) {
-        const auto part = text.substr(0, piece);
+        const auto part = text.substr(0, chunkSize);
         const auto used = parser.feed(part, onBody);
         text.remove_prefix(used);
         if (used == 0)
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("http parser: whole messages in pieces of any size, with the next one's bytes left alone")
+TEST_CASE("http parser: parses messages in chunks of any size without consuming bytes of the next message")
 {
     struct sample {
         message_type type;
@@ -55,9 +55,9 @@
         {message_type::request, "GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", ""},
     };
     for (const auto &entry : samples)
-        for (std::size_t piece = 1; piece < 20; ++piece) {
+        for (std::size_t chunkSize = 1; chunkSize < 20; ++chunkSize) {
             http_parser parser(entry.type);
-            const auto result = parse(parser, entry.text + "NEXT", piece);
+            const auto result = parse(parser, entry.text + "NEXT", chunkSize);
             CHECK(result.state == parse_state::complete);
             CHECK(result.body == entry.body);
             CHECK(std::string("NEXT").ends_with(result.rest));
@@ -65,7 +65,7 @@
         }
 }
 
-TEST_CASE("http parser: an answer without a length ends only with an orderly close")
+TEST_CASE("http parser: a response without a length is complete only after an orderly close")
 {
     http_parser parser(message_type::response);
     const auto result = parse(parser, "HTTP/1.1 200 OK\r\nA: b\r\n\r\nall that comes", 7);
@@ -90,16 +90,16 @@
     }
 }
 
-TEST_CASE("http parser: a header line without a name doesn't end the process")
+TEST_CASE("http parser: a header line without a name doesn't crash the parser")
 {
     for (const std::string text : {"HTTP/1.1 200 OK\r\n: value\r\n\r\n", "HTTP/1.1 200 OK\r\n:\r\n\r\n",
                                    "GET / HTTP/1.1\r\n: value\r\n\r\n", "GET / HTTP/1.1\r\n value\r\n\r\n"}) {
-        http_parser answer(text[0] == 'H' ? message_type::response : message_type::request);
-        CHECK(parse(answer, text, 1000).state != parse_state::complete);
+        http_parser parser(text[0] == 'H' ? message_type::response : message_type::request);
+        CHECK(parse(parser, text, 1000).state != parse_state::complete);
     }
 }
 
-TEST_CASE("http parser: random damage never ends the process or yields more than was fed")
+TEST_CASE("http parser: random corruption never crashes the parser or yields more bytes than were fed")
 {
     const std::string text = "HTTP/1.1 200 OK\r\nServer-Stamp: abc\r\nContent-Length: 5\r\n"
                              "Content-Type: text/plain\r\n\r\nhello";
