--- a/src/forwarding.cpp
+++ b/src/forwarding.cpp
@@ -31,7 +31,7 @@
 }
 
 /// Parses "PROMPT,OUTPUT" and the caller's estimate of the output length; the estimate takes precedence.
-void parseTokenCounts(request_facts &facts, const message_head &head, const header_dialect &dialect)
+void parseTokenCounts(request_metadata &facts, const message_head &head, const header_names &headerNames)
 {
     const auto counts = splitList(head.header(headerNames.tokenCounts));
     if (!counts.empty())
@@ -49,7 +49,7 @@
 }
 
 /// Parses "ID:TOKENS,...": the last part is specific to the request, the parts before it are shared with others.
-void parsePromptParts(request_facts &facts, const message_head &head, const header_dialect &dialect)
+void parsePromptParts(request_metadata &facts, const message_head &head, const header_names &headerNames)
 {
     const auto parts = splitList(head.header(headerNames.promptParts));
     if (parts.size() < 2)
@@ -77,8 +77,8 @@
         facts.key = trimmed(authorization.substr(scheme.size() + 1));
     const auto session = head.header(headerNames.session);
     facts.session = hashOf(session.empty() ? std::string_view(facts.id) : session);
-    parseTokenCounts(facts, head, dialect);
-    parsePromptParts(facts, head, dialect);
+    parseTokenCounts(facts, head, headerNames);
+    parsePromptParts(facts, head, headerNames);
     return facts;
 }
 
@@ -96,13 +96,14 @@
             || isSameHeader(name, headerNames.deadline) || isSameHeader(name, "Authorization");
     };
     const auto isRequired = [&](std::string_view name) {
-        return isSameHeader(name, "Host") || isSameHeader(name, dialect.requestId) || isSameHeader(name, dialect.model)
-            || isSameHeader(name, dialect.tokenCounts) || isSameHeader(name, dialect.promptParts)
-            || isSameHeader(name, dialect.lastEventId);
+        return isSameHeader(name, "Host") || isSameHeader(name, headerNames.requestId)
+            || isSameHeader(name, headerNames.model) || isSameHeader(name, headerNames.tokenCounts)
+            || isSameHeader(name, headerNames.promptParts) || isSameHeader(name, headerNames.lastEventId);
     };
     for (const auto &[name, value] : head.headers) {
         const bool isConnectionOption = isOneOf(name, connectionOptions) && !isRequired(name);
-        if (!isConnectionHeader(name) && !isConnectionOption && !isReplaced(name) && !isOneOf(name, dialect.reserved))
+        if (!isConnectionHeader(name) && !isConnectionOption && !isReplaced(name)
+            && !isOneOf(name, headerNames.reserved))
             add(name, value);
     }
     add(headerNames.deadline, std::to_string(fields.deadline.count()));
@@ -112,7 +113,7 @@
     if (!fields.model.empty())
         add(headerNames.model, fields.model);
     if (fields.priority)
-        add(dialect.priority, std::to_string(std::min(*fields.priority, kLowestPriority)));
+        add(headerNames.priority, std::to_string(std::min(*fields.priority, kLowestPriority)));
     if (fields.lastEventId)
         add(headerNames.lastEventId, std::to_string(*fields.lastEventId));
     const bool hasBody = head.length || head.isChunked;
@@ -121,7 +122,7 @@
     return text + "\r\n";
 }
 
-http_headers answerHeaders(const message_head &response)
+http_headers forwardedResponseHeaders(const message_head &response)
 {
     const auto connectionOptions = splitList(response.header("Connection"));
     http_headers forwarded;
--- a/src/forwarding_p.h
+++ b/src/forwarding_p.h
@@ -11,7 +11,7 @@
 {
 
 /// Metadata parsed from a request's headers.
-struct request_facts {
+struct request_metadata {
     std::string id; ///< empty: missing
     std::string key; ///< API key; empty: none
     std::string host;
@@ -20,8 +20,8 @@
     std::optional<std::uint64_t> lastEventId; ///< last event of an interrupted stream that the caller received
     std::uint64_t promptTokens = 0; ///< including shared tokens
     std::uint64_t sharedTokens = 0; ///< in prompt parts shared with other requests
-    std::uint64_t answerTokens = 0; ///< estimate, or the upper limit if there is no estimate
-    std::uint64_t sharedPrompt = 0; ///< hash of the prompt parts shared with other requests; 0: none
+    std::uint64_t outputTokens = 0; ///< estimate, or the upper limit if there is no estimate
+    std::uint64_t sharedPrefixHash = 0; ///< hash of the prompt parts shared with other requests; 0: none
     std::uint64_t session = 0; ///< hash of the session name, or of the request id if there is no session
 };
 
@@ -42,6 +42,6 @@
                                         const header_names &headerNames);
 
 /// @returns the headers of a response that are forwarded to the caller.
-[[nodiscard]] http_headers answerHeaders(const message_head &response);
+[[nodiscard]] http_headers forwardedResponseHeaders(const message_head &response);
 
 } // namespace foxtaildyke
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -1,5 +1,5 @@
 // Processing of one request: admission, replica selection, sending; see gateway_exchange_p.h. Responses are handled in
-// gateway_exchange_answers.cpp.
+// gateway_exchange_responses.cpp.
 #include "gateway_exchange_p.h"
 
 #include <nlohmann/json.hpp>
@@ -56,7 +56,7 @@
         cascade_step step;
         step.models = m_route->models.size();
         step.maxSends = m_route->maxAttempts;
-        m_model = firstModel(m_state.ladder, step);
+        m_model = firstModel(m_state.cascade, step);
     }
     attempt();
 }
--- a/src/gateway_exchange_p.h
+++ b/src/gateway_exchange_p.h
@@ -1,6 +1,6 @@
 // Processing of one caller's request: validates it against the configuration, sends it to a replica, forwards the
 // response, and applies the rules on retries, escalation and stream resumption. The decisions themselves are in
-// attempt_rules, model_ladder, replica_table, retry_budget and rollout_policy.
+// attempt_rules, model_cascade, replica_table, retry_budget and rollout_policy.
 #pragma once
 
 #include "attempt_rules_p.h"
@@ -31,7 +31,7 @@
     replica_table replicas;
     retry_budget budget;
     rollout_policy rollouts;
-    cascade_settings ladder;
+    cascade_settings cascade;
     upstream_pool pool;
     std::mt19937_64 random;
 
@@ -85,11 +85,11 @@
     void forwardEvent(std::string_view event, std::optional<std::uint64_t> id);
     void beginStream();
     [[nodiscard]] attempt_result classify(upstream_end end) const;
-    void noteAttempt(attempt_result result);
+    void recordAttempt(attempt_result result);
     void recordVersionResponse(attempt_result result);
     void closeAttempt(std::optional<bool> isGood);
     void handleAttemptResult(attempt_result result);
-    void retryOrFinish(attempt_result result, attempt_facts facts);
+    void retryOrFinish(attempt_result result, attempt_outcome facts);
     void forwardResponse();
     void refuse(refusal reason);
     void abortResponse(std::string_view reason);
@@ -105,7 +105,7 @@
     gateway_state &m_state;
     caller_request m_request;
     caller_reply &m_reply;
-    request_facts m_facts;
+    request_metadata m_facts;
     gateway_config_ptr m_config; ///< active when the request arrived
     const gateway_route *m_route = nullptr; ///< in m_config
     const client_account *m_account = nullptr; ///< in m_config
--- a/src/gateway_exchange_responses.cpp
+++ b/src/gateway_exchange_responses.cpp
@@ -59,8 +59,8 @@
 {
     m_firstByteAt = suspendAwareNow();
     m_response = head;
-    m_state.replicas.noteFirstByte(m_replica, std::exchange(m_promptMs, 0));
-    const bool isUsable = !head.header(m_state.dialect.stamp).empty() && head.header("Content-Encoding").empty();
+    m_state.replicas.recordFirstByte(m_replica, std::exchange(m_promptMs, 0));
+    const bool isUsable = !head.header(m_state.headerNames.stamp).empty() && head.header("Content-Encoding").empty();
     if (!isSuccess(head.status) || !isUsable)
         return;
     if (const auto model = escalation(head))
@@ -80,7 +80,7 @@
     step.confidence = parseNumber(head.header(m_state.headerNames.confidence));
     step.elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(suspendAwareNow() - m_request.readAt);
     step.objective = m_route->objective;
-    const auto next = nextModel(m_state.ladder, step);
+    const auto next = nextModel(m_state.cascade, step);
     const bool isAffordable =
         next && m_state.budget.tryConsumeRetry(m_service, retry_reason::escalation, suspendAwareNow());
     return isAffordable ? next : std::nullopt;
@@ -125,8 +125,8 @@
 void gateway_exchange::beginStream()
 {
     m_hasStreamStarted = true;
-    m_state.metrics.noteFirstEvent(m_route->name, suspendAwareNow() - m_request.readAt);
-    m_reply.startStream(m_response.status, answerHeaders(m_response));
+    m_state.metrics.recordFirstEvent(m_route->name, suspendAwareNow() - m_request.readAt);
+    m_reply.startStream(m_response.status, forwardedResponseHeaders(m_response));
 }
 
 attempt_result gateway_exchange::classify(upstream_end end) const
@@ -139,7 +139,7 @@
         return attempt_result::broken;
     if (m_response.status == http_status::kMisdirectedRequest)
         return attempt_result::wrong_replica;
-    if (!m_response.header(m_state.dialect.notRun).empty())
+    if (!m_response.header(m_state.headerNames.notRun).empty())
         return attempt_result::not_run;
     if (m_response.status >= kServerError)
         return attempt_result::server_error;
@@ -147,7 +147,7 @@
     if (m_hasStreamStarted && !m_isStream)
         return attempt_result::unusable;
     const bool isComplete = m_body.size() <= kMaxBodyBytes && m_response.header("Content-Encoding").empty();
-    const bool isStamped = !m_response.header(m_state.dialect.stamp).empty();
+    const bool isStamped = !m_response.header(m_state.headerNames.stamp).empty();
     if (!isComplete || (isSuccess(m_response.status) && !isStamped) || impliesNotRun(m_response.status))
         return attempt_result::unusable;
     return attempt_result::answered;
@@ -167,7 +167,7 @@
 void gateway_exchange::recordAttempt(attempt_result result)
 {
     const auto now = suspendAwareNow();
-    m_state.metrics.noteAttempt(m_service, m_replicaVersion, nameOf(result));
+    m_state.metrics.recordAttempt(m_service, m_replicaVersion, nameOf(result));
     recordVersionResponse(result);
     if (result == attempt_result::answered)
         return;
@@ -189,18 +189,18 @@
     const auto now = suspendAwareNow();
     const std::string stratum =
         m_route->models.empty() ? m_route->name : m_route->name + '/' + m_route->models[m_model];
-    version_answer response;
+    version_response response;
     response.service = m_service;
     response.version = m_replicaVersion;
     response.stratum = stratum;
     response.replica = m_replica;
     response.isFailure = result == attempt_result::server_error;
     constexpr std::uint32_t kMinEventsForPace = 3;
-    if (m_route->repeats != repeat_rule::stream)
+    if (m_route->retryRule != retry_rule::stream)
         response.latency = now - m_sentAt;
     else if (m_eventCount >= kMinEventsForPace)
         response.latency = (now - *m_firstEventAt) / (m_eventCount - 1);
-    m_state.rollouts.noteAnswer(response);
+    m_state.rollouts.recordResponse(response);
 }
 
 void gateway_exchange::closeAttempt(std::optional<bool> isGood)
@@ -224,19 +224,19 @@
     retryOrFinish(result, facts);
 }
 
-void gateway_exchange::retryOrFinish(attempt_result result, attempt_facts facts)
+void gateway_exchange::retryOrFinish(attempt_result result, attempt_outcome facts)
 {
-    auto step = stepAfter(facts);
+    auto step = nextStepAfter(facts);
     const bool hasReachedReplica = result != attempt_result::not_connected;
-    if (step == next_step::try_again && hasReachedReplica
-        && !m_state.budget.takeRepeat(m_service, repeat_reason::failure, suspendAwareNow())) {
+    if (step == next_step::retry && hasReachedReplica
+        && !m_state.budget.tryConsumeRetry(m_service, retry_reason::failure, suspendAwareNow())) {
         facts.sends = facts.maxSends;
         step = nextStepAfter(facts);
     }
     switch (step) {
     case next_step::pass_on:
         return forwardResponse();
-    case next_step::try_again:
+    case next_step::retry:
         return attempt();
     case next_step::refuse:
         return refuse(refusal::not_run);
@@ -254,7 +254,7 @@
         return refuse(refusal::failed);
     finish(m_response.status, "answered");
     if (!m_isStream)
-        return m_reply.replyWhole(m_response.status, answerHeaders(m_response), m_body);
+        return m_reply.replyWhole(m_response.status, forwardedResponseHeaders(m_response), m_body);
     if (!m_hasStreamStarted)
         beginStream();
     m_reply.streamBytes(m_events.rest());
@@ -267,7 +267,7 @@
     finish(row.status, row.reason);
     http_headers headers;
     if (!m_facts.id.empty())
-        headers.emplace_back(m_state.dialect.requestId, m_facts.id);
+        headers.emplace_back(m_state.headerNames.requestId, m_facts.id);
     if (row.hasRetryAfter)
         headers.emplace_back("Retry-After", retryAfter());
     m_reply.replyWhole(row.status, headers, {});
--- a/src/gateway_metrics_p.h
+++ b/src/gateway_metrics_p.h
@@ -16,16 +16,16 @@
     ~gateway_metrics();
 
     /// Records a finished request. @param duration time since its arrival.
-    void noteRequest(std::string_view route, int status, std::string_view reason, std::chrono::microseconds duration);
+    void recordRequest(std::string_view route, int status, std::string_view reason, std::chrono::microseconds duration);
 
     /// Records the time from a request's arrival to the first event of its stream.
-    void noteFirstEvent(std::string_view route, std::chrono::microseconds duration);
+    void recordFirstEvent(std::string_view route, std::chrono::microseconds duration);
 
     /// Counts an ended attempt at a replica.
     void recordAttempt(std::string_view service, std::string_view version, std::string_view result);
 
     /// Counts a feed event, such as a lost or restored dependency or an unusable entry.
-    void noteFeed(std::string_view type);
+    void recordFeedEvent(std::string_view type);
 
     void setConfigVersion(generation_number version);
     void setConfigAge(std::chrono::microseconds age);
--- a/src/gateway_task.cpp
+++ b/src/gateway_task.cpp
@@ -38,7 +38,7 @@
               .replicas = replica_table(m_settings.failureDomain, std::random_device{}()),
               .budget = retry_budget({m_settings.retryRatio, m_settings.retryWindow, m_settings.retrySlack}),
               .rollouts = {},
-              .ladder = {.confidenceToKeep = m_settings.confidenceToKeep, .startsSmall = m_settings.startsSmall},
+              .cascade = {.confidenceToKeep = m_settings.confidenceToKeep, .startsSmall = m_settings.startsSmall},
               .pool = {loop, m_headerNames.requestId},
               .random = std::mt19937_64{std::random_device{}()}}
     , m_registry(m_settings.lapseGrace)
--- a/src/gateway_task_p.h
+++ b/src/gateway_task_p.h
@@ -33,7 +33,7 @@
     [[nodiscard]] std::uint16_t readinessPort() const { return m_readinessPort; }
 
     /// Logs that the settings file has changed; new settings take effect at the next start.
-    void noteReload();
+    void logReload();
 
 private:
     [[nodiscard]] const caller_limits &limits() const override;
--- a/src/header_names_p.h
+++ b/src/header_names_p.h
@@ -8,7 +8,7 @@
 namespace foxtaildyke
 {
 
-struct header_dialect {
+struct header_names {
     std::string requestId; ///< unique for each attempt of a caller
     std::string deadline; ///< time in ms for which the sender waits
     std::string model; ///< requested model
--- a/src/http_parser.cpp
+++ b/src/http_parser.cpp
@@ -87,12 +87,12 @@
 {
     std::size_t consumed = 0;
     if (m_state == parse_state::head) {
-        consumed = takeHead(bytes);
+        consumed = consumeHead(bytes);
         if (stopAfterHead || m_state != parse_state::body)
             return consumed;
     }
     if (m_state == parse_state::body && consumed < bytes.size())
-        consumed += takeBody(bytes.substr(consumed), onBody);
+        consumed += consumeBody(bytes.substr(consumed), onBody);
     return consumed;
 }
 
--- a/tests/failure_gateway.cpp
+++ b/tests/failure_gateway.cpp
@@ -60,12 +60,12 @@
     gateway.start();
     REQUIRE(gateway.waitForLog("store_lost", "config"));
     CHECK(gateway.readiness() == 503);
-    CHECK(gateway.ask(safeRequest("early")).head.status == 503); // not 401 or 404: no route or key is known yet
+    CHECK(gateway.sendRequest(safeRequest("early")).head.status == 503); // not 401 or 404: no route or key is known yet
     gateway.publish(1);
     gateway.registerReplica(replica);
     gateway.store.setMood(store_mood::serving);
     REQUIRE(gateway.runUntil([&] { return gateway.readiness() == 200; }));
-    const auto response = gateway.ask(onceRequest("id-1"));
+    const auto response = gateway.sendRequest(onceRequest("id-1"));
     CHECK(response.head.status == 200);
     CHECK(response.body == "whole body");
     CHECK(replica.requests.size() == 1);
@@ -77,16 +77,20 @@
 TEST_CASE("gateway process: an invalid request is refused with the status for its error")
 {
     single_replica_fixture fixture;
-    CHECK(fixture.ask(requestText("GET", "/none/x", "id-1")).head.status == 404);
-    CHECK(fixture.ask("GET /safe/x HTTP/1.1\r\nHost: h.example\r\nFoxtaildyke-Request-Id: i\r\n\r\n").head.status
-          == 401);
-    CHECK(fixture.ask("GET /safe/x HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key-1\r\n\r\n").head.status
+    CHECK(fixture.sendRequest(requestText("GET", "/none/x", "id-1")).head.status == 404);
+    CHECK(
+        fixture.sendRequest("GET /safe/x HTTP/1.1\r\nHost: h.example\r\nFoxtaildyke-Request-Id: i\r\n\r\n").head.status
+        == 401);
+    CHECK(fixture.sendRequest("GET /safe/x HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key-1\r\n\r\n")
+              .head.status
           == 400);
-    CHECK(fixture.ask("not HTTP\r\n\r\n").head.status == 400);
-    CHECK(fixture.ask(requestText("GET", "/safe/x", "id-2", "X: " + std::string(5000, 'x') + "\r\n")).head.status
-          == 431);
-    CHECK(fixture.ask(requestText("POST", "/once/x", "id-3", {}, std::string(100'001, 'x'))).head.status == 413);
-    CHECK(fixture.ask("GET /safe/x HTTP/1.1\r\nHost: h.exa").head.status == 408); // the head is never completed
+    CHECK(fixture.sendRequest("not HTTP\r\n\r\n").head.status == 400);
+    CHECK(
+        fixture.sendRequest(requestText("GET", "/safe/x", "id-2", "X: " + std::string(5000, 'x') + "\r\n")).head.status
+        == 431);
+    CHECK(fixture.sendRequest(requestText("POST", "/once/x", "id-3", {}, std::string(100'001, 'x'))).head.status
+          == 413);
+    CHECK(fixture.sendRequest("GET /safe/x HTTP/1.1\r\nHost: h.exa").head.status == 408); // the head is never completed
     CHECK(fixture.replica.requests.empty());
 }
 
@@ -95,24 +99,25 @@
     single_replica_fixture fixture;
     const std::string head = "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key-1\r\n";
     CHECK(fixture
-              .ask(head
-                   + "Foxtaildyke-Request-Id: id-1\r\nTransfer-Encoding: "
-                     "chunked\r\n\r\n4\r\nfour\r\n3\r\nand\r\n0\r\n\r\n")
+              .sendRequest(head
+                           + "Foxtaildyke-Request-Id: id-1\r\nTransfer-Encoding: "
+                             "chunked\r\n\r\n4\r\nfour\r\n3\r\nand\r\n0\r\n\r\n")
               .head.status
           == 200);
     REQUIRE(fixture.replica.requests.size() == 1);
     CHECK(fixture.replica.requests[0].body == "fourand");
     CHECK(fixture
-              .ask(head
-                   + "Foxtaildyke-Request-Id: id-2\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+              .sendRequest(
+                  head
+                  + "Foxtaildyke-Request-Id: id-2\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
               .head.status
           == 400);
     CHECK(fixture
-              .ask("POST /once/x HTTP/1.1\r\nHost: other.example\r\nAuthorization: Bearer key-1\r\n"
-                   "Foxtaildyke-Request-Id: id-3\r\nContent-Length: 0\r\n\r\n")
+              .sendRequest("POST /once/x HTTP/1.1\r\nHost: other.example\r\nAuthorization: Bearer key-1\r\n"
+                           "Foxtaildyke-Request-Id: id-3\r\nContent-Length: 0\r\n\r\n")
               .head.status
           == 404);
-    CHECK(fixture.ask(requestText("POST", "/once", "id-4")).head.status == 404); // the prefix ends with a slash
+    CHECK(fixture.sendRequest(requestText("POST", "/once", "id-4")).head.status == 404); // the prefix ends with a slash
     CHECK(fixture.replica.requests.size() == 1);
 }
 
@@ -124,8 +129,8 @@
     scripted_caller caller(fixture.loop, fixture.callerPort);
     caller.send(requestText("POST", "/stream/x", "id-1",
                             "Foxtaildyke-Tenant: forged\r\nKv-From: 10.0.0.1:1/7\r\nFoxtaildyke-Retention: 3\r\n"));
-    CHECK(fixture.runUntil([&] { return !caller.answers.empty() && caller.answers[0].body == eventsText(1, 3); }));
-    CHECK_FALSE(caller.answers[0].isWhole);
+    CHECK(fixture.runUntil([&] { return !caller.responses.empty() && caller.responses[0].body == eventsText(1, 3); }));
+    CHECK_FALSE(caller.responses[0].isComplete);
     const auto &forwarded = fixture.replica.requests.at(0).head;
     CHECK(forwarded.header("Foxtaildyke-Tenant") == "account-1");
     CHECK(forwarded.header("Kv-From").empty());
@@ -136,10 +141,10 @@
 TEST_CASE("gateway process: a response before the body was read is forwarded and keeps the connection in sync")
 {
     single_replica_fixture fixture({}, echoResponse);
-    fixture.replica.answersHeads = true;
+    fixture.replica.respondsAfterHead = true;
     const std::string body(60'000, 'x');
-    CHECK(fixture.ask(requestText("POST", "/once/x", "id-1", {}, body)).body == "whole body");
-    CHECK(fixture.ask(requestText("POST", "/once/x", "id-2", {}, body)).body == "whole body");
+    CHECK(fixture.sendRequest(requestText("POST", "/once/x", "id-1", {}, body)).body == "whole body");
+    CHECK(fixture.sendRequest(requestText("POST", "/once/x", "id-2", {}, body)).body == "whole body");
     // Every complete request at the replica must be one that was sent.
     for (const auto &request : fixture.replica.requests) {
         CHECK(request.head.target == "/once/x");
@@ -159,15 +164,15 @@
     fixture.runFor(1s);
     CHECK(fixture.replica.pendingBytes() > 0);
     caller.setReading(true);
-    REQUIRE(fixture.runUntil([&] { return !caller.answers.empty() && caller.answers[0].isWhole; }));
-    CHECK(caller.answers[0].body == eventsText(1, kEvents));
+    REQUIRE(fixture.runUntil([&] { return !caller.responses.empty() && caller.responses[0].isComplete; }));
+    CHECK(caller.responses[0].body == eventsText(1, kEvents));
 }
 
 TEST_CASE("gateway process: a replica connection is reused for no longer than the replica allows")
 {
     std::string headers;
     single_replica_fixture fixture({}, [&](const received_request &request) {
-        return replica_script{answerText(200, idOf(request), "whole body", headers)};
+        return replica_script{responseText(200, idOf(request), "whole body", headers)};
     });
     int requestCount = 0;
     // With a persistent connection, and with one that the replica closes after the response.
@@ -175,7 +180,7 @@
          {"", "Keep-Alive: timeout=5\r\n", "Connection: close\r\n", "Keep-Alive: timeout=1\r\n"}) {
         headers = next;
         for (int i = 0; i < 3; ++i)
-            CHECK(fixture.ask(onceRequest("id-" + std::to_string(++requestCount))).head.status == 200);
+            CHECK(fixture.sendRequest(onceRequest("id-" + std::to_string(++requestCount))).head.status == 200);
     }
     CHECK(fixture.replica.requests.size() == 12);
 }
@@ -196,7 +201,7 @@
     CHECK(gateway.waitForLog("replicas_listed", "\"count\":5"));
     CHECK(gateway.waitForLog("replica_unusable", "r6"));
     for (int i = 0; i < 40; ++i)
-        CHECK(gateway.ask(onceRequest("id-" + std::to_string(i))).head.status == 200);
+        CHECK(gateway.sendRequest(onceRequest("id-" + std::to_string(i))).head.status == 200);
     CHECK(std::ranges::all_of(replicas, [](const auto &replica) { return !replica->requests.empty(); }));
 
     gateway.store.remove("servers", "r1");
@@ -205,39 +210,39 @@
     REQUIRE(gateway.runUntil([&] { return gateway.metrics().find("replicas 4") != std::string::npos; }));
     const auto before = replicas[0]->requests.size();
     for (int i = 40; i < 60; ++i)
-        CHECK(gateway.ask(onceRequest("id-" + std::to_string(i))).head.status == 200);
+        CHECK(gateway.sendRequest(onceRequest("id-" + std::to_string(i))).head.status == 200);
     CHECK(replicas[0]->requests.size() == before);
 }
 
 TEST_CASE("gateway process: a configuration takes effect without a restart and is never replaced by an older one")
 {
     single_replica_fixture fixture;
-    CHECK(fixture.ask(safeRequest("id-1")).head.status == 200);
+    CHECK(fixture.sendRequest(safeRequest("id-1")).head.status == 200);
     fixture.publishWithoutSafe(5);
     REQUIRE(fixture.waitForLog("config_in_force", "\"generation\":5"));
-    CHECK(fixture.ask(safeRequest("id-2")).head.status == 404);
+    CHECK(fixture.sendRequest(safeRequest("id-2")).head.status == 404);
     fixture.publish(3);
     fixture.runFor(600ms);
-    CHECK(fixture.ask(safeRequest("id-3")).head.status == 404);
-    CHECK(fixture.ask(onceRequest("id-4")).head.status == 200);
+    CHECK(fixture.sendRequest(safeRequest("id-3")).head.status == 404);
+    CHECK(fixture.sendRequest(onceRequest("id-4")).head.status == 200);
 }
 
 TEST_CASE("gateway process: a key that was withdrawn while the process was suspended is refused")
 {
     single_replica_fixture fixture("key_lease_ms = 1000\n");
-    CHECK(fixture.ask(onceRequest("id-1")).head.status == 200);
+    CHECK(fixture.sendRequest(onceRequest("id-1")).head.status == 200);
     fixture.signal(SIGSTOP);
     fixture.publish(2, {"key-2"});
     fixture.store.setMood(store_mood::silent);
     fixture.runFor(1200ms); // longer than the lease
     fixture.signal(SIGCONT);
-    CHECK(fixture.ask(onceRequest("id-2")).head.status == 503); // it can't know whether the key is still valid
+    CHECK(fixture.sendRequest(onceRequest("id-2")).head.status == 503); // it can't know whether the key is still valid
     CHECK(fixture.readiness() == 503);
     fixture.store.setMood(store_mood::serving);
     // A response that arrived while the process was suspended delivers the version but must not renew the lease.
     REQUIRE(fixture.waitForLog("config_in_force", "\"generation\":2"));
     REQUIRE(fixture.runUntil([&] { return fixture.readiness() == 200; }));
-    CHECK(fixture.ask(onceRequest("id-3")).head.status == 401);
+    CHECK(fixture.sendRequest(onceRequest("id-3")).head.status == 401);
     CHECK(fixture.replica.requests.size() == 1);
 }
 
@@ -247,7 +252,7 @@
         single_replica_fixture fixture;
         fixture.store.setMood(mood);
         REQUIRE(fixture.waitForLog("store_lost", "servers"));
-        CHECK(fixture.ask(onceRequest("id-1")).head.status == 200);
+        CHECK(fixture.sendRequest(onceRequest("id-1")).head.status == 200);
         fixture.store.setMood(store_mood::serving);
         CHECK(fixture.waitForLog("store_regained", "servers"));
     }
@@ -258,21 +263,21 @@
     replica_script next;
     single_replica_fixture fixture({}, [&](const received_request &) { return next; });
     next = {.bytes = "HTTP/1.1 200 OK\r\nFoxtaildyke-Server-Stamp: s\r\nContent-Length: 50\r\n\r\ncut", .closes = true};
-    CHECK(fixture.ask(onceRequest("id-1")).head.status == 502);
+    CHECK(fixture.sendRequest(onceRequest("id-1")).head.status == 502);
     next = {.bytes = "HTTP/1.1 200 OK\r\nFoxtaildyke-Server-Stamp: s\r\n\r\nno length", .resets = true};
-    CHECK(fixture.ask(onceRequest("id-2")).head.status == 502);
+    CHECK(fixture.sendRequest(onceRequest("id-2")).head.status == 502);
     next = {.bytes = "HTTP/1.1 200 OK\r\nFoxtaildyke-Server-Stamp: s\r\n\r\nno length", .closes = true};
-    const auto unsized = fixture.ask(onceRequest("id-3"));
+    const auto unsized = fixture.sendRequest(onceRequest("id-3"));
     CHECK(unsized.head.status == 200);
     CHECK(unsized.body == "no length");
-    next = {.bytes = answerText(200, "id-0", "of another request") + answerText(200, "id-4", "mine")};
-    CHECK(fixture.ask(onceRequest("id-4")).body == "mine");
-    next = {.bytes = answerText(200, "id-5", "mine") + "bytes that belong to nothing"};
-    CHECK(fixture.ask(onceRequest("id-5")).body == "mine");
-    next = {.bytes = answerText(200, "id-6", "after them")};
-    CHECK(fixture.ask(onceRequest("id-6")).body == "after them");
-    next = {.bytes = answerText(200, "id-7", "packed", "Content-Encoding: gzip\r\n")};
-    CHECK(fixture.ask(onceRequest("id-7")).head.status == 502);
+    next = {.bytes = responseText(200, "id-0", "of another request") + responseText(200, "id-4", "mine")};
+    CHECK(fixture.sendRequest(onceRequest("id-4")).body == "mine");
+    next = {.bytes = responseText(200, "id-5", "mine") + "bytes that belong to nothing"};
+    CHECK(fixture.sendRequest(onceRequest("id-5")).body == "mine");
+    next = {.bytes = responseText(200, "id-6", "after them")};
+    CHECK(fixture.sendRequest(onceRequest("id-6")).body == "after them");
+    next = {.bytes = responseText(200, "id-7", "packed", "Content-Encoding: gzip\r\n")};
+    CHECK(fixture.sendRequest(onceRequest("id-7")).head.status == 502);
 }
 
 TEST_CASE("gateway process: which requests are retried after a replica failure")
@@ -280,12 +285,12 @@
     replica_script next;
     single_replica_fixture fixture({}, [&](const received_request &) { return next; });
     next = {.bytes = "", .resets = true};
-    CHECK(fixture.ask(onceRequest("id-1")).head.status == 502);
+    CHECK(fixture.sendRequest(onceRequest("id-1")).head.status == 502);
     CHECK(fixture.replica.requests.size() == 1); // the request may have run
-    CHECK(fixture.ask(safeRequest("id-2")).head.status == 502);
+    CHECK(fixture.sendRequest(safeRequest("id-2")).head.status == 502);
     CHECK(fixture.replica.requests.size() == 3);
     next = {.bytes = notRunText()};
-    const auto refused = fixture.ask(onceRequest("id-3"));
+    const auto refused = fixture.sendRequest(onceRequest("id-3"));
     CHECK(refused.head.status == 503);
     CHECK_FALSE(refused.head.header("Retry-After").empty());
     CHECK(fixture.replica.requests.size() == 5);
@@ -307,8 +312,8 @@
     gateway.registerReplica(*one);
     gateway.registerReplica(two);
     REQUIRE(gateway.startReady());
-    const auto response = gateway.ask(requestText("POST", "/stream/x", "id-1"));
-    CHECK(response.isWhole);
+    const auto response = gateway.sendRequest(requestText("POST", "/stream/x", "id-1"));
+    CHECK(response.isComplete);
     CHECK(response.body == eventsText(1, 9));
 
     one.reset();
@@ -316,7 +321,7 @@
     gateway.registerReplica(restarted, "v1", "ready", 1'700'000'009'000);
     gateway.store.remove("servers", "r2");
     REQUIRE(gateway.waitForLog("replica_removed", "r2"));
-    CHECK(gateway.ask(onceRequest("id-2")).head.status == 200);
+    CHECK(gateway.sendRequest(onceRequest("id-2")).head.status == 200);
     CHECK(restarted.requests.size() == 1);
 }
 
@@ -328,7 +333,7 @@
     fixture.registerReplica(fixture.replica, "v1", "draining");
     REQUIRE(fixture.waitForLog("replica_changed", "\"draining\":true"));
     for (int i = 0; i < 10; ++i)
-        CHECK(fixture.ask(onceRequest("id-" + std::to_string(i))).head.status == 200);
+        CHECK(fixture.sendRequest(onceRequest("id-" + std::to_string(i))).head.status == 200);
     CHECK(fixture.replica.requests.empty());
     CHECK(other.requests.size() == 10);
 }
@@ -354,8 +359,9 @@
                                                   "Foxtaildyke-Confidence: " + confidence + "\r\n")};
     });
     for (int i = 0; i < 3; ++i) // requests that raise the retry budget to allow an escalation
-        CHECK(fixture.ask(requestText("POST", "/stream/x", "id-" + std::to_string(i))).isWhole);
-    CHECK(fixture.ask(requestText("POST", "/sized/x", "id-9", "Foxtaildyke-Model: *\r\n")).body == eventsText(1, 2));
+        CHECK(fixture.sendRequest(requestText("POST", "/stream/x", "id-" + std::to_string(i))).isComplete);
+    CHECK(fixture.sendRequest(requestText("POST", "/sized/x", "id-9", "Foxtaildyke-Model: *\r\n")).body
+          == eventsText(1, 2));
     CHECK(fixture.replica.requests.back().head.header("Foxtaildyke-Model") == "large");
 }
 
@@ -369,7 +375,7 @@
     REQUIRE(gateway.startReady());
     constexpr int kRequests = 60;
     for (int i = 0; i < kRequests; ++i)
-        gateway.ask(safeRequest("id-" + std::to_string(i)));
+        gateway.sendRequest(safeRequest("id-" + std::to_string(i)));
     // 0.2 of the requests, plus a sixteenth of the slack of 160.
     CHECK(replica.requests.size() > kRequests);
     CHECK(replica.requests.size() <= kRequests + 12 + 10);
@@ -384,7 +390,7 @@
         fixture.registerReplica(newer, "v2");
         fixture.store.put("rollouts", "s", {{"service", "s"}, {"target", "v2"}, {"duration_s", 6}});
         CHECK(fixture.runUntil([&] {
-            fixture.ask(onceRequest("id"));
+            fixture.sendRequest(onceRequest("id"));
             return rolloutState(fixture) != "ordered" && !newer.requests.empty();
         }));
     }
@@ -394,27 +400,27 @@
 {
     single_replica_fixture fixture;
     scripted_replica newer(fixture.loop, "r2", [](const received_request &request) {
-        return replica_script{answerText(500, idOf(request), "bad")};
+        return replica_script{responseText(500, idOf(request), "bad")};
     });
     fixture.registerReplica(newer, "v2");
     fixture.store.put("rollouts", "s", {{"service", "s"}, {"target", "v2"}, {"duration_s", 6}});
     int requestCount = 0;
     REQUIRE(fixture.runUntil([&] {
-        fixture.ask(onceRequest("id-" + std::to_string(++requestCount)));
+        fixture.sendRequest(onceRequest("id-" + std::to_string(++requestCount)));
         return rolloutState(fixture) == "rolled_back";
     }));
     REQUIRE(fixture.waitForLog("rollout_state", "rolled_back"));
     const auto before = newer.requests.size();
     CHECK(before <= 50); // upper limit of responses from a bad version until it is detected
     for (int i = 0; i < 50; ++i)
-        CHECK(fixture.ask(onceRequest("after-" + std::to_string(i))).head.status == 200);
+        CHECK(fixture.sendRequest(onceRequest("after-" + std::to_string(i))).head.status == 200);
     CHECK(newer.requests.size() == before);
 }
 
 TEST_CASE("gateway process: a graceful stop completes requests in flight and fails the readiness check")
 {
     single_replica_fixture fixture({}, [](const received_request &request) {
-        return replica_script{.bytes = answerText(200, idOf(request), "late"), .delay = 1500ms};
+        return replica_script{.bytes = responseText(200, idOf(request), "late"), .delay = 1500ms};
     });
     scripted_caller caller(fixture.loop, fixture.callerPort);
     caller.send(onceRequest("id-1"));
@@ -422,22 +428,22 @@
     fixture.signal(SIGTERM);
     REQUIRE(fixture.runUntil([&] { return fixture.readiness() != 200; }));
     CHECK(fixture.waitExit() == 0);
-    CHECK(fixture.runUntil([&] { return !caller.answers.empty() && caller.answers[0].isWhole; }));
-    CHECK(caller.answers[0].head.status == 200);
+    CHECK(fixture.runUntil([&] { return !caller.responses.empty() && caller.responses[0].isComplete; }));
+    CHECK(caller.responses[0].head.status == 200);
     CHECK(fixture.hasLogged("\"event\":\"stop_begun\"", "connections"));
 }
 
 TEST_CASE("gateway process: serves requests after a kill and restart, and keeps serving after a reload signal")
 {
     single_replica_fixture fixture;
-    CHECK(fixture.ask(onceRequest("id-1")).head.status == 200);
+    CHECK(fixture.sendRequest(onceRequest("id-1")).head.status == 200);
     fixture.process().kill();
-    CHECK_FALSE(fixture.ask(onceRequest("id-2")).isWhole);
+    CHECK_FALSE(fixture.sendRequest(onceRequest("id-2")).isComplete);
     REQUIRE(fixture.startReady());
-    CHECK(fixture.ask(onceRequest("id-3")).head.status == 200);
+    CHECK(fixture.sendRequest(onceRequest("id-3")).head.status == 200);
     fixture.signal(SIGHUP);
     REQUIRE(fixture.waitForLog("\"event\":\"reload\"", "settings"));
-    CHECK(fixture.ask(onceRequest("id-4")).head.status == 200);
+    CHECK(fixture.sendRequest(onceRequest("id-4")).head.status == 200);
 }
 
 TEST_CASE("gateway process: an invalid setting ends the process with an error that names the field")
--- a/tests/gateway_harness.cpp
+++ b/tests/gateway_harness.cpp
@@ -72,7 +72,7 @@
         while (!stream.received().empty() && !isOpen) {
             const bool wasHead = parser.state() == parse_state::head;
             stream.drop(parser.feed(stream.received(), onBody, wasHead));
-            if (wasHead && parser.state() == parse_state::body && replica.answersHeads)
+            if (wasHead && parser.state() == parse_state::body && replica.respondsAfterHead)
                 stream.write(replica.m_script({parser.head(), {}}).bytes);
             if (wasHead && parser.state() == parse_state::body)
                 continue;
--- a/tests/gateway_harness.h
+++ b/tests/gateway_harness.h
@@ -45,7 +45,7 @@
 
     std::vector<received_request> requests; ///< all requests received
     std::size_t connectionsLost = 0; ///< closed by the gateway while a request was open
-    bool answersHeads = false; ///< responds before the request body has arrived, and continues reading
+    bool respondsAfterHead = false; ///< responds before the request body has arrived, and continues reading
     /// @returns the number of response bytes that the gateway has not yet received.
     [[nodiscard]] std::size_t pendingBytes() const;
     [[nodiscard]] replica_entry entry(const std::string &service, const std::string &version = "v1") const;
@@ -64,7 +64,7 @@
 };
 
 /// A response as received by a caller.
-struct received_answer {
+struct received_response {
     message_head head;
     std::string body;
     bool isComplete = false;
@@ -123,15 +123,15 @@
                                       const std::string &moreHeaders = {}, const std::string &body = {});
 
 /// @returns a response with stamp and Content-Length.
-[[nodiscard]] std::string answerText(int status, const std::string &id, const std::string &body,
-                                     const std::string &moreHeaders = {});
+[[nodiscard]] std::string responseText(int status, const std::string &id, const std::string &body,
+                                       const std::string &moreHeaders = {});
 
 /// @returns a refusal stating that the request has not run.
 [[nodiscard]] std::string notRunText(int status = 503);
 
 /// @returns a stamped event stream in chunked encoding with the events first to last; without the last chunk if not
 /// complete.
-[[nodiscard]] std::string streamText(const std::string &id, int first, int last, bool isWhole = true,
+[[nodiscard]] std::string streamText(const std::string &id, int first, int last, bool isComplete = true,
                                      const std::string &moreHeaders = {});
 
 /// @returns the text of the events first to last.
--- a/tests/gateway_process.h
+++ b/tests/gateway_process.h
@@ -36,7 +36,7 @@
                          const std::string &state = "ready", std::int64_t startedAtMs = 1'700'000'000'000);
 
     /// Sends a request on a new connection. @returns its response, which is incomplete if the connection ended early.
-    received_answer ask(const std::string &request);
+    received_response sendRequest(const std::string &request);
     /// @returns the status of a GET request to the readiness address; 0: no response.
     int readiness();
     /// @returns the response body of the metrics address.
--- a/tests/test_gateway_path.cpp
+++ b/tests/test_gateway_path.cpp
@@ -42,9 +42,9 @@
     caller.send(requestText("POST", "/once/a%20b?c=d&e", "id1",
                             "X-Own: kept\r\nFoxtaildyke-Pin-Ms: 99\r\nFoxtaildyke-Tenant: forged\r\n", "the body"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 1); }));
-    CHECK(caller.answers[0].head.status == 200);
-    CHECK(caller.answers[0].body == "whole body");
-    CHECK(caller.answers[0].head.header("Foxtaildyke-Server-Stamp") == "stamp");
+    CHECK(caller.responses[0].head.status == 200);
+    CHECK(caller.responses[0].body == "whole body");
+    CHECK(caller.responses[0].head.header("Foxtaildyke-Server-Stamp") == "stamp");
     REQUIRE(replica.requests.size() == 1);
     const auto &forwarded = replica.requests[0];
     CHECK(forwarded.head.method == "POST");
@@ -64,8 +64,8 @@
     scripted_caller early(harness.loop, harness.task.callerPort());
     early.send(requestText("GET", "/safe/x", "id0"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(early, 1); }));
-    CHECK(early.answers[0].head.status == 503); // no configuration has been received yet
-    CHECK_FALSE(early.answers[0].head.header("Retry-After").empty());
+    CHECK(early.responses[0].head.status == 503); // no configuration has been received yet
+    CHECK_FALSE(early.responses[0].head.header("Retry-After").empty());
 
     harness.publish(gateway_harness::makeConfig());
     harness.publishReplicas({replica.entry("s")});
@@ -91,7 +91,7 @@
         INFO(entry.request.substr(0, 60));
         caller.send(entry.request);
         REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 1); }));
-        CHECK(caller.answers[0].head.status == entry.status);
+        CHECK(caller.responses[0].head.status == entry.status);
     }
     CHECK(replica.requests.empty());
 }
@@ -108,15 +108,15 @@
     scripted_caller lost(harness.loop, harness.task.callerPort());
     lost.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(lost, 1); }));
-    CHECK(lost.answers[0].head.status == 502); // the request may have run
+    CHECK(lost.responses[0].head.status == 502); // the request may have run
     CHECK(one.requests.size() == 1);
 
     first.push_back({.bytes = notRunText()});
     scripted_caller shed(harness.loop, harness.task.callerPort());
     shed.send(requestText("POST", "/once/x", "id2"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(shed, 1); }));
-    CHECK(shed.answers[0].head.status == 503);
-    CHECK_FALSE(shed.answers[0].head.header("Retry-After").empty());
+    CHECK(shed.responses[0].head.status == 503);
+    CHECK_FALSE(shed.responses[0].head.header("Retry-After").empty());
     CHECK(one.requests.size() == 3); // the second attempt is allowed because the first has not run
 }
 
@@ -124,13 +124,13 @@
 {
     gateway_harness harness;
     scripted_replica replica(harness.loop, "r1",
-                             [](const received_request &) { return replica_script{answerText(503, "id1", "")}; });
+                             [](const received_request &) { return replica_script{responseText(503, "id1", "")}; });
     harness.publish(gateway_harness::makeConfig());
     harness.publishReplicas({replica.entry("s")});
     scripted_caller caller(harness.loop, harness.task.callerPort());
     caller.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 1); }));
-    CHECK(caller.answers[0].head.status == 502);
+    CHECK(caller.responses[0].head.status == 502);
     CHECK(replica.requests.size() == 1);
 }
 
@@ -149,7 +149,7 @@
         scripted_caller caller(harness.loop, harness.task.callerPort());
         caller.send(requestText("POST", "/once/x", id));
         REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 1); }));
-        return caller.answers[0].head.status;
+        return caller.responses[0].head.status;
     };
     bytes = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"; // without a stamp
     CHECK(statusOf("id1") == 502);
@@ -182,7 +182,7 @@
     scripted_caller caller(harness.loop, harness.task.callerPort());
     caller.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 1); }));
-    CHECK(caller.answers[0].body == "yours");
+    CHECK(caller.responses[0].body == "yours");
 }
 
 TEST_CASE("gateway: an interrupted stream resumes at another replica without missing or duplicate events")
@@ -204,7 +204,7 @@
     scripted_caller caller(harness.loop, harness.task.callerPort());
     caller.send(requestText("POST", "/stream/x", "id1"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 1); }));
-    CHECK(caller.answers[0].body == eventsText(1, 9));
+    CHECK(caller.responses[0].body == eventsText(1, 9));
     CHECK(one.requests.size() + two.requests.size() + three.requests.size() == 3);
 }
 
@@ -221,8 +221,8 @@
     scripted_caller caller(harness.loop, harness.task.callerPort());
     caller.send(requestText("POST", "/stream/x", "id1"));
     REQUIRE(harness.runUntil([&] { return caller.isClosed; }));
-    REQUIRE(caller.answers.size() == 1);
-    CHECK_FALSE(caller.answers[0].isWhole);
+    REQUIRE(caller.responses.size() == 1);
+    CHECK_FALSE(caller.responses[0].isComplete);
     CHECK(replica.requests.size() == 1);
 }
 
@@ -243,7 +243,7 @@
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 3); }));
     caller.send(requestText("POST", "/sized/x", "id1"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 4); }));
-    CHECK(caller.answers[3].body == eventsText(1, 2));
+    CHECK(caller.responses[3].body == eventsText(1, 2));
     REQUIRE(replica.requests.size() == 5);
     CHECK(replica.requests[3].head.header("Foxtaildyke-Model") == "small");
     CHECK(replica.requests[4].head.header("Foxtaildyke-Model") == "large");
@@ -263,7 +263,7 @@
     silent_replica_fixture fixture;
     fixture.caller.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(fixture.runUntil([&] { return hasCompleteResponses(fixture.caller, 1); }));
-    CHECK(fixture.caller.answers[0].head.status == 504);
+    CHECK(fixture.caller.responses[0].head.status == 504);
 }
 
 TEST_CASE("gateway: keys are refused once the key lease on the configuration has expired")
@@ -280,14 +280,14 @@
     scripted_caller caller(harness.loop, harness.task.callerPort());
     caller.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 1); }));
-    CHECK(caller.answers[0].head.status == 503);
+    CHECK(caller.responses[0].head.status == 503);
     caller.send(requestText("GET", "/safe/x", "id2")); // a public route needs no key
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 2); }));
-    CHECK(caller.answers[1].head.status == 200);
+    CHECK(caller.responses[1].head.status == 200);
     harness.feed.listener->onConfigConfirmed(suspendAwareNow());
     caller.send(requestText("POST", "/once/x", "id3"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 3); }));
-    CHECK(caller.answers[2].head.status == 200);
+    CHECK(caller.responses[2].head.status == 200);
 }
 
 TEST_CASE("gateway: a configuration is never replaced by an older one")
@@ -302,7 +302,7 @@
     scripted_caller caller(harness.loop, harness.task.callerPort());
     caller.send(requestText("GET", "/safe/x", "id1"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 1); }));
-    CHECK(caller.answers[0].head.status == 404);
+    CHECK(caller.responses[0].head.status == 404);
 }
 
 TEST_CASE("gateway: a persistent connection is closed after a stream that began before the stop")
@@ -318,15 +318,15 @@
     REQUIRE(harness.runUntil([&] { return replica.requests.size() == 1; }));
     harness.task.stop();
     REQUIRE(harness.runUntil([&] { return caller.isClosed; }));
-    REQUIRE(caller.answers.size() == 1);
-    CHECK(caller.answers[0].isWhole);
+    REQUIRE(caller.responses.size() == 1);
+    CHECK(caller.responses[0].isComplete);
 }
 
 TEST_CASE("gateway: a stop completes the request in flight, then ends the loop")
 {
     gateway_harness harness;
     scripted_replica replica(harness.loop, "r1", [](const received_request &) {
-        return replica_script{.bytes = answerText(200, "id1", "late"), .delay = std::chrono::milliseconds(700)};
+        return replica_script{.bytes = responseText(200, "id1", "late"), .delay = std::chrono::milliseconds(700)};
     });
     harness.publish(gateway_harness::makeConfig());
     harness.publishReplicas({replica.entry("s")});
@@ -337,8 +337,8 @@
     harness.task.stop();
     harness.loop.run();
     REQUIRE(hasCompleteResponses(caller, 1));
-    CHECK(caller.answers[0].head.status == 200);
-    CHECK(caller.answers[0].head.header("Connection") == "close");
+    CHECK(caller.responses[0].head.status == 200);
+    CHECK(caller.responses[0].head.header("Connection") == "close");
 }
 
 TEST_CASE("gateway: the forwarded deadline is the remaining time of the caller's deadline and the route's timeout")
@@ -372,7 +372,7 @@
     for (std::size_t i = 1; i <= 8; ++i) {
         caller.send(requestText("POST", "/once/x", "id" + std::to_string(i)));
         REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, i); }));
-        CHECK(caller.answers[i - 1].head.status == 200);
+        CHECK(caller.responses[i - 1].head.status == 200);
     }
     CHECK(wrong.requests.size() <= 1);
     CHECK(right.requests.size() == 8);
