--- a/src/header_names_p.h
+++ b/src/header_names_p.h
@@ -24,8 +24,7 @@
     std::string stamp; ///< identifies responses that originate from a replica
     std::string confidence; ///< 0 to 100: the model's confidence in its output
     std::string keyScheme; ///< Authorization scheme for API keys
-    std::vector<std::string>
-        reserved; ///< headers removed from a caller's request, because only the gateway may set them
+    std::vector<std::string> reserved; ///< removed from callers' requests: only the gateway may set them
 };
 
 } // namespace foxtaildyke
