--- a/src/load_poller_p.h
+++ b/src/load_poller_p.h
@@ -10,13 +10,13 @@
 {
 
 /// Replicas of one version that a host uses at most.
-constexpr std::size_t kReplicasPerVersion = 64;
+constexpr std::size_t kMaxReplicasPerVersion = 64;
 
 /// Chooses the replicas that a host uses: for each version the live ones that come first in the rendezvous order of
 /// host and replica, and all that are leaving.
 /// @remarks Hosts choose different subsets, and a host's subset changes by one replica where one comes or goes.
 [[nodiscard]] std::vector<upstream_info> replicaSubset(std::string_view host, std::vector<upstream_info> upstreams,
-                                                       std::size_t perVersion = kReplicasPerVersion);
+                                                       std::size_t perVersion = kMaxReplicasPerVersion);
 
 class load_poller
 {
--- a/src/peer_service_p.h
+++ b/src/peer_service_p.h
@@ -11,11 +11,11 @@
 
 /// Answers one call; to be called once, on the event loop, at any time.
 template <typename reply_type>
-using peer_reply = std::function<void(reply_type)>;
+using peer_responder = std::function<void(reply_type)>;
 
 /// Handles a call on the event loop.
 template <typename request_type, typename reply_type>
-using peer_handler = std::function<void(const request_type &, peer_reply<reply_type>)>;
+using peer_handler = std::function<void(const request_type &, peer_responder<reply_type>)>;
 
 /// A call whose handler is not set is answered as unimplemented.
 struct peer_handlers {
--- a/src/relay_ledger.cpp
+++ b/src/relay_ledger.cpp
@@ -65,14 +65,14 @@
 relay_task::ledger_handlers relay_ledger::makeHandlers()
 {
     return {.append =
-                [this](const append_request &request, const peer_reply<append_response> &reply) {
+                [this](const append_request &request, const peer_responder<append_response> &reply) {
                     m_service.serveAppend(
                         request.segment(), request.batch(),
                         [reply](const result<std::vector<append_reply>> &replies) { reply(encodeReplies(replies)); });
                     schedule();
                 },
             .copyBills =
-                [this](const copy_bills_request &request, const peer_reply<copy_bills_reply> &reply) {
+                [this](const copy_bills_request &request, const peer_responder<copy_bills_reply> &reply) {
                     const std::vector<std::string> release(request.release().begin(), request.release().end());
                     copy_bills_reply answer;
                     answer.set_kept(m_service.serveCopies(request.host(), request.batch(), release));
--- a/src/relay_task.cpp
+++ b/src/relay_task.cpp
@@ -31,7 +31,7 @@
 } // namespace
 
 relay_task::relay_task(event_loop &loop, object_store &store, const process_settings &settings, core_sink deliver,
-                       note_event note)
+                       event_sink note)
     : m_loop(loop)
     , m_store(store)
     , m_settings(settings)
@@ -244,16 +244,16 @@
 peer_handlers relay_task::makeHandlers()
 {
     peer_handlers handlers;
-    handlers.exchange = [this](const exchange_request &request, peer_reply<exchange_reply> reply) {
+    handlers.exchange = [this](const exchange_request &request, peer_responder<exchange_reply> reply) {
         const response_token token{++m_lastAnswer};
         m_answers[token] = std::move(reply);
         m_relay.handleCall(token, fromWire(request), event_loop::now());
         drive();
     };
-    handlers.recover = [this](const recover_request &request, const peer_reply<recover_reply> &reply) {
+    handlers.recover = [this](const recover_request &request, const peer_responder<recover_reply> &reply) {
         reply(answerRecover(request));
     };
-    handlers.status = [this](const status_request &request, peer_reply<status_reply> reply) {
+    handlers.status = [this](const status_request &request, peer_responder<status_reply> reply) {
         const auto until = event_loop::now() + std::chrono::milliseconds(request.wait_ms());
         m_waitingStatus.push_back({request.generation(), until, std::move(reply)});
         answerStatus(event_loop::now());
--- a/src/relay_task_p.h
+++ b/src/relay_task_p.h
@@ -15,7 +15,7 @@
 class relay_task
 {
 public:
-    using note_event = std::function<void(std::string type, std::string reason, generation_number generation)>;
+    using event_sink = std::function<void(std::string type, std::string reason, generation_number generation)>;
 
     /// Calls of other hosts that the ledger answers; see peer_handlers.
     struct ledger_handlers {
@@ -24,7 +24,7 @@
     };
 
     relay_task(event_loop &loop, object_store &store, const process_settings &settings, core_sink deliver,
-               note_event note);
+               event_sink note);
     ~relay_task();
     relay_task(const relay_task &) = delete;
     relay_task &operator=(const relay_task &) = delete;
@@ -55,7 +55,7 @@
     struct waiting_status {
         generation_number generation = 0;
         instant until{};
-        peer_reply<status_reply> reply;
+        peer_responder<status_reply> reply;
     };
 
     void drive();
@@ -81,7 +81,7 @@
     object_store &m_store;
     process_settings m_settings;
     core_sink m_deliver;
-    note_event m_note;
+    event_sink m_note;
     config_holder m_config;
     freshness m_fresh;
     relay m_relay;
@@ -98,7 +98,7 @@
     instant m_nextRecover{};
     std::string m_rejectedField; ///< of the last configuration that could not be used
     std::uint64_t m_lastAnswer = 0;
-    std::map<response_token, peer_reply<exchange_reply>> m_answers; ///< calls of children that wait
+    std::map<response_token, peer_responder<exchange_reply>> m_answers; ///< calls of children that wait
     std::vector<waiting_status> m_waitingStatus;
 
     // What the core was told last.
--- a/src/store_ports.cpp
+++ b/src/store_ports.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 store_config::store_config(event_loop &loop, object_store &store, std::string failureDomain, core_sink deliver,
-                           note_event note)
+                           event_sink note)
     : m_store(store)
     , m_failureDomain(std::move(failureDomain))
     , m_deliver(std::move(deliver))
--- a/src/store_ports_p.h
+++ b/src/store_ports_p.h
@@ -14,11 +14,11 @@
 class store_config : public config_port
 {
 public:
-    using note_event = std::function<void(std::string type, std::string reason, generation_number generation)>;
+    using event_sink = std::function<void(std::string type, std::string reason, generation_number generation)>;
 
     static constexpr std::chrono::milliseconds kReadPeriod{250};
 
-    store_config(event_loop &loop, object_store &store, std::string failureDomain, core_sink deliver, note_event note);
+    store_config(event_loop &loop, object_store &store, std::string failureDomain, core_sink deliver, event_sink note);
     void start() override;
 
 private:
@@ -29,7 +29,7 @@
     object_store &m_store;
     std::string m_failureDomain;
     core_sink m_deliver;
-    note_event m_note;
+    event_sink m_note;
     object_version m_version = 0; ///< of the object that m_config was built from
     fleet_ptr m_config;
     bool m_isReading = false;
