--- a/src/acceptance_p.h
+++ b/src/acceptance_p.h
@@ -25,10 +25,10 @@
 {
 public:
     /// Records a configuration that was read from the store or written to it.
-    void note(const config_document &document);
+    void recordConfiguration(const config_document &document);
 
     /// Records a router's status response, received at `now`.
-    void observe(const host_status &status, instant now);
+    void recordStatus(const host_status &status, instant now);
 
     /// Accepts generations whose waiting period has ended.
     /// @returns whether a generation became accepted.
--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -62,7 +62,7 @@
     state.tokens = state.tokens < 0 ? burst : std::min(burst, state.tokens + elapsed * rate);
     state.refilledAt = now;
     if (state.inFlight >= std::max(1.0, limits.concurrency * share))
-        return {reason_code::rate_limited, spread(kConcurrencyRetryAfter)};
+        return {reason_code::rate_limited, addJitter(kConcurrencyRetryAfter)};
     if (state.tokens < 1)
         return {reason_code::rate_limited, reserveRetryTime(state, (1 - state.tokens) / rate, rate, now)};
     state.tokens -= 1;
--- a/src/admission_p.h
+++ b/src/admission_p.h
@@ -15,7 +15,7 @@
 {
 
 /// Result of the admission check.
-struct admission_verdict {
+struct admission_decision {
     reason_code reason = reason_code::none; ///< none: admitted
     std::chrono::milliseconds retryAfter{};
 };
@@ -39,7 +39,7 @@
     explicit admission(std::uint64_t seed = 1);
 
     /// Checks the account's rate and concurrency limits and consumes one unit of each if both allow the request.
-    [[nodiscard]] admission_verdict admit(const fleet &config, account_handle account, instant now);
+    [[nodiscard]] admission_decision admit(const fleet &config, account_handle account, instant now);
 
     /// Returns the concurrency unit of an admitted request.
     void release(std::string_view account);
@@ -64,7 +64,7 @@
     [[nodiscard]] std::vector<request_token> order(std::size_t limit = SIZE_MAX) const;
 
     /// Records the start of an attempt, which occupies a slot of the pool.
-    void noteStart(std::string_view pool, request_class priority);
+    void recordStart(std::string_view pool, request_class priority);
 
     /// Records the end of an attempt, which frees its slot.
     /// @param serviceTime from start to end.
@@ -73,17 +73,17 @@
     /// @returns how long a request that arrived now would wait in the queue: the requests ahead of it divided by the
     /// rate at which this host starts requests of their class. 0 if nothing is known about the pool or no request is
     /// ahead.
-    [[nodiscard]] std::chrono::milliseconds startEstimate(std::string_view account, request_class priority,
-                                                          std::string_view pool) const;
+    [[nodiscard]] std::chrono::milliseconds estimateQueueWait(std::string_view account, request_class priority,
+                                                              std::string_view pool) const;
 
     /// @returns the estimate plus a random part of up to half of it, so that refused callers do not retry all at once.
-    [[nodiscard]] std::chrono::milliseconds spread(std::chrono::milliseconds estimate);
+    [[nodiscard]] std::chrono::milliseconds addJitter(std::chrono::milliseconds estimate);
 
     /// Records the first attempt of a request, which adds to the retry budget.
-    void noteFirstAttempt();
+    void recordFirstAttempt();
 
     /// @returns whether the retry budget allows a retry now; if so, the retry is charged to it.
-    [[nodiscard]] bool takeRetry(const tuning &tune);
+    [[nodiscard]] bool tryConsumeRetry(const tuning &tune);
 
 private:
     static constexpr std::size_t kClasses = static_cast<std::size_t>(request_class::count);
--- a/src/attempt_rules.cpp
+++ b/src/attempt_rules.cpp
@@ -7,20 +7,20 @@
 namespace
 {
 
-bool canRetry(const attempt_facts &outcome)
+bool canRetry(const attempt_outcome &outcome)
 {
-    const bool isAllowed = outcome.mayRepeat || !outcome.mayHaveRun;
-    return isAllowed && outcome.sends < outcome.maxSends && outcome.left >= kLeastTimeForRepeat;
+    const bool isAllowed = outcome.mayRetry || !outcome.mayHaveRun;
+    return isAllowed && outcome.sends < outcome.maxSends && outcome.left >= kMinRetryTime;
 }
 
 } // namespace
 
-next_step stepAfter(const attempt_facts &outcome)
+next_step nextStepAfter(const attempt_outcome &outcome)
 {
     if (outcome.result == attempt_result::answered)
         return next_step::pass_on;
     if (canRetry(outcome))
-        return next_step::try_again;
+        return next_step::retry;
     if (outcome.hasCallerBytes)
         return next_step::cut_off;
     if (outcome.result == attempt_result::server_error)
--- a/src/attempt_rules_p.h
+++ b/src/attempt_rules_p.h
@@ -34,7 +34,7 @@
 
 struct attempt_outcome {
     attempt_result result = attempt_result::broken;
-    bool mayRepeat = false; ///< requests of this kind may run more than once
+    bool mayRetry = false; ///< requests of this kind may run more than once
     bool mayHaveRun = false; ///< this attempt or an earlier one may have run
     bool hasCallerBytes = false; ///< part of the response was sent to the caller
     std::uint32_t sends = 0; ///< replicas to which the request was sent
@@ -44,7 +44,7 @@
 
 enum class next_step : std::uint8_t {
     pass_on, ///< pass the replica's response on to the caller
-    try_again, ///< if the retry budget allows it; if not, decide anew with `sends` at its maximum
+    retry, ///< if the retry budget allows it; if not, decide anew with `sends` at its maximum
     refuse, ///< 503: the request has not run and never will
     fail, ///< 502: the request may have run
     cut_off, ///< break off the response that has begun
@@ -57,8 +57,8 @@
 };
 
 /// No retry is sent with less time left than this: about the fastest plain response plus one round trip.
-inline constexpr std::chrono::milliseconds kLeastTimeForRepeat{20};
+inline constexpr std::chrono::milliseconds kMinRetryTime{20};
 
-[[nodiscard]] next_step stepAfter(const attempt_facts &outcome);
+[[nodiscard]] next_step nextStepAfter(const attempt_outcome &outcome);
 
 } // namespace foxtaildyke
--- a/src/balancer_p.h
+++ b/src/balancer_p.h
@@ -45,9 +45,9 @@
     /// @returns number of replicas of a version among which this host chooses.
     [[nodiscard]] std::size_t poolSize(std::string_view service, std::string_view version) const;
 
-    void noteStart(std::string_view upstream);
+    void recordStart(std::string_view upstream);
     /// @param failure empty: the attempt returned a complete response.
-    void noteEnd(std::string_view upstream, std::optional<attempt_failure> failure, instant now);
+    void recordEnd(std::string_view upstream, std::optional<attempt_failure> failure, instant now);
 
     static constexpr std::size_t kSubsetSize = 64; ///< replicas of a version that one host uses
 
--- a/src/evidence.cpp
+++ b/src/evidence.cpp
@@ -108,7 +108,7 @@
     m_totalsAt = now;
     for (const auto &total : totals) {
         auto &entry = m_counts[total.version];
-        const auto *own = findIn(ownPart, total.version);
+        const auto *own = findIn(ownContribution, total.version);
         const auto next = own != nullptr ? subtract(total, *own) : total;
         add(entry, {increase(next.passed, entry.others.passed), increase(next.failed, entry.others.failed)});
         entry.others = next;
--- a/src/evidence_p.h
+++ b/src/evidence_p.h
@@ -31,18 +31,18 @@
     explicit evidence_table(std::string hostName = {});
 
     /// Counts an attempt that is dispatched.
-    void noteDispatch(std::string_view version);
+    void recordDispatch(std::string_view version);
 
     /// Counts a settled attempt.
     /// @param passed empty: the attempt will not be rated.
     /// @param stratum group of requests within which failure rates can be compared.
-    void noteResult(std::string_view version, std::optional<bool> passed, std::string_view stratum = {});
+    void recordResult(std::string_view version, std::optional<bool> passed, std::string_view stratum = {});
 
     /// Replaces the counts of the other hosts with the totals of the relay.
     /// @param totals sums since the version's first response. A sum that decreases (the relay has restarted) becomes
     /// the new base for later increases.
-    /// @param ownPart this host's deltas that are included in `totals`; empty if it contains only results of other
-    /// hosts.
+    /// @param ownContribution this host's deltas that are included in `totals`; empty if it contains only results of
+    /// other hosts.
     void setTotals(const std::vector<version_evidence> &totals, instant now,
                    const std::vector<version_evidence> &ownContribution = {});
 
--- a/src/freshness.cpp
+++ b/src/freshness.cpp
@@ -103,9 +103,9 @@
     return freshness_stamp{m_generation, times[last]};
 }
 
-bool freshness::isAcknowledged(instant acknowledgedAt, instant now) const
+bool freshness::isAcknowledgementValid(instant acknowledgedAt, instant now) const
 {
-    return acknowledgedAt != kNoVouch && now - acknowledgedAt < m_lease;
+    return acknowledgedAt != kNotAcknowledged && now - acknowledgedAt < m_lease;
 }
 
 instant freshness::leaseEnd() const
--- a/src/freshness_p.h
+++ b/src/freshness_p.h
@@ -18,7 +18,7 @@
 };
 
 /// Marks a missing acknowledgement in a list of acknowledgement times.
-inline constexpr instant kNoVouch = instant::min();
+inline constexpr instant kNotAcknowledged = instant::min();
 
 class freshness
 {
@@ -33,35 +33,36 @@
 
     /// Records that a generation exists, even if its configuration has not been received yet. Until it is adopted, this
     /// host neither acknowledges nor dispatches.
-    void noteExists(generation_number generation);
+    void recordGeneration(generation_number generation);
 
     /// Applies a stamp from the parent, the store or a quorum; one that is not newer than the last is ignored.
     void stamp(const freshness_stamp &stamp);
 
     /// Records a read of the store that began at `readStarted` and returned this generation. Ends the recovering state
     /// if the generation has been adopted.
-    void storeRead(generation_number generation, instant readStarted);
+    void recordStoreRead(generation_number generation, instant readStarted);
 
     /// @returns the earliest time of a Recover call to other hosts that can end the recovering state. Acknowledgements
-    /// from before the restart have expired by then (see isAcknowledged()), so that no majority observed later includes
-    /// one that this host has lost in the restart.
-    [[nodiscard]] instant recoverAskTime() const;
+    /// from before the restart have expired by then (see isAcknowledgementValid()), so that no majority observed later
+    /// includes one that this host has lost in the restart.
+    [[nodiscard]] instant earliestRecoverCall() const;
 
     /// Records the response of another host to a Recover call.
-    /// @param askedAt when the call was sent; calls before recoverAskTime() are not counted.
+    /// @param askedAt when the call was sent; calls before earliestRecoverCall() are not counted.
     /// @returns whether this host has left the recovering state. It does so when more than half of the registered hosts
     /// have responded (this host and recovering ones are not counted) and the highest generation among the responses
     /// has been adopted.
-    bool recoverAnswer(const std::string &host, bool isRecovering, generation_number generation, instant askedAt);
+    bool recordRecoverResponse(const std::string &host, bool isRecovering, generation_number generation,
+                               instant askedAt);
 
     /// @param acknowledgedAt for each registered host the time of its newest acknowledgement of the adopted generation,
-    /// or kNoVouch.
+    /// or kNotAcknowledged.
     /// @returns a stamp from acknowledgements of more than half of the registered hosts, or nothing.
     [[nodiscard]] std::optional<freshness_stamp> quorumStamp(const std::vector<instant> &acknowledgedAt) const;
 
     /// @returns whether an acknowledgement still counts at `now`. It expires after one lease, because the host may have
     /// restarted since and lost the generation.
-    [[nodiscard]] bool isAcknowledged(instant acknowledgedAt, instant now) const;
+    [[nodiscard]] bool isAcknowledgementValid(instant acknowledgedAt, instant now) const;
 
     /// @returns when the lease for the adopted generation ends; zero if there is none.
     [[nodiscard]] instant leaseEnd() const;
@@ -70,7 +71,7 @@
 
     /// @returns whether this host may acknowledge its generation: it is registered, not recovering, and has adopted the
     /// highest generation it knows.
-    [[nodiscard]] bool mayVouch() const;
+    [[nodiscard]] bool mayAcknowledge() const;
 
     [[nodiscard]] bool isRecovering() const { return m_recovering; }
     [[nodiscard]] bool isRegistered() const;
--- a/src/load_aggregator.cpp
+++ b/src/load_aggregator.cpp
@@ -1,5 +1,5 @@
-// Sums of outstanding requests over hosts; see load_board_p.h.
-#include "load_board_p.h"
+// Sums of outstanding requests over hosts; see load_aggregator_p.h.
+#include "load_aggregator_p.h"
 
 namespace foxtaildyke
 {
--- a/src/model_cascade.cpp
+++ b/src/model_cascade.cpp
@@ -1,5 +1,5 @@
-// Selection of the model; see model_ladder_p.h.
-#include "model_ladder_p.h"
+// Selection of the model; see model_cascade_p.h.
+#include "model_cascade_p.h"
 
 namespace foxtaildyke
 {
--- a/src/model_cascade_p.h
+++ b/src/model_cascade_p.h
@@ -8,7 +8,7 @@
 namespace foxtaildyke
 {
 
-struct ladder_settings {
+struct cascade_settings {
     /// Confidence in percent below which the response of the smallest model is discarded and the request escalated to
     /// the largest.
     std::uint32_t confidenceToKeep = 60;
@@ -20,7 +20,7 @@
 };
 
 /// State of a request in the cascade.
-struct ladder_step {
+struct cascade_step {
     std::size_t models = 1; ///< of the route, smallest first
     std::size_t current = 0;
     std::uint32_t sends = 0; ///< replicas to which the request was sent so far
@@ -35,6 +35,6 @@
 
 /// @returns index of the model to escalate to, or nothing if the response that has begun is to be kept.
 /// @remarks Check the retry budget afterwards: each escalation is one more arrival at the service.
-[[nodiscard]] std::optional<std::size_t> nextModel(const ladder_settings &settings, const ladder_step &step);
+[[nodiscard]] std::optional<std::size_t> nextModel(const cascade_settings &settings, const cascade_step &step);
 
 } // namespace foxtaildyke
--- a/tests/freshness_sim.cpp
+++ b/tests/freshness_sim.cpp
@@ -113,7 +113,7 @@
         request.to = to;
         request.fromIncarnation = host.incarnation;
         request.generation = host.state->generation();
-        request.isAcknowledgement = host.state->mayVouch();
+        request.isAcknowledgement = host.state->mayAcknowledge();
         request.echoed = host.echo[m_hosts[to].name];
         request.sentAt = clockOf(host);
         m_messages.push_back(request);
@@ -136,7 +136,7 @@
     const auto &caller = m_hosts[request.from];
     const bool echoIsOwn = request.echoed != instant{} && host.issued[caller.name] == request.echoed;
     if (request.isAcknowledgement && echoIsOwn && request.generation == host.state->generation()) {
-        auto &acknowledgedAt = host.acknowledgedAt.try_emplace(caller.name, kNoVouch).first->second;
+        auto &acknowledgedAt = host.acknowledgedAt.try_emplace(caller.name, kNotAcknowledged).first->second;
         acknowledgedAt = std::max(acknowledgedAt, request.echoed);
     }
     host.issued[caller.name] = clockOf(host);
@@ -166,19 +166,20 @@
     if (response.stamp)
         host.state->stamp({response.stamp->generation, response.sentAt - response.stamp->currentAt});
     const bool wasRecovering = host.state->isRecovering();
-    if (host.state->recoverAnswer(peer, response.recovering, response.generation, response.sentAt) && wasRecovering)
+    if (host.state->recordRecoverResponse(peer, response.recovering, response.generation, response.sentAt)
+        && wasRecovering)
         ++m_quorumRecoveries;
 }
 
 void freshness_sim::applyStamps(sim_host &host)
 {
-    if (host.state->mayVouch())
+    if (host.state->mayAcknowledge())
         host.acknowledgedAt[host.name] = clockOf(host);
     std::vector<instant> times;
     if (host.state->generation() == 0)
         return;
     for (const auto &name : m_store[host.state->generation()].hosts)
-        times.push_back(host.acknowledgedAt.contains(name) ? host.acknowledgedAt[name] : kNoVouch);
+        times.push_back(host.acknowledgedAt.contains(name) ? host.acknowledgedAt[name] : kNotAcknowledged);
     const auto stamp = host.state->quorumStamp(times);
     if (!stamp)
         return;
@@ -209,7 +210,7 @@
         if (response.incarnation != host.incarnation)
             continue;
         adopt(host, response.generation);
-        host.state->storeRead(response.generation, response.readStarted);
+        host.state->recordStoreRead(response.generation, response.readStarted);
     }
 }
 
@@ -245,7 +246,7 @@
     const auto &host = m_hosts[observer];
     std::vector<std::string> names;
     for (const auto &[name, at] : host.acknowledgedAt)
-        if (host.state->isAcknowledged(at, clockOf(host)))
+        if (host.state->isAcknowledgementValid(at, clockOf(host)))
             names.push_back(name);
     return names;
 }
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -154,9 +154,9 @@
     for (std::uint64_t i = 0; i < 16; ++i)
         queue.enqueue(token(i), "a", 1, request_class::batch, "pool");
     queue.enqueue(token(99), "a", 1, request_class::batch, "other");
-    CHECK(queue.startEstimate("a", request_class::batch, "pool") == 2000ms);
-    CHECK(queue.startEstimate("a", request_class::interactive, "pool") == 0ms);
-    CHECK(queue.startEstimate("b", request_class::batch, "pool") < 500ms);
+    CHECK(queue.estimateQueueWait("a", request_class::batch, "pool") == 2000ms);
+    CHECK(queue.estimateQueueWait("a", request_class::interactive, "pool") == 0ms);
+    CHECK(queue.estimateQueueWait("b", request_class::batch, "pool") < 500ms);
     // Short lookups in the same pool must not shorten the estimate for the drafts ahead.
     for (int i = 0; i < 50; ++i) {
         queue.recordStart("pool", request_class::interactive);
--- a/tests/test_balancer.cpp
+++ b/tests/test_balancer.cpp
@@ -78,7 +78,7 @@
     CHECK(names.size() == 1);
     const auto prefixReplica = *names.begin();
     for (int i = 0; i < 3; ++i)
-        choice.noteStart(prefixReplica);
+        choice.recordStart(prefixReplica);
     CHECK(pickName(choice, withPrefix) != prefixReplica);
 }
 
@@ -161,7 +161,7 @@
         int count = 0;
         for (auto name = pickName(choice, draft, now); !name.empty() && count < 20;
              name = pickName(choice, draft, now)) {
-            choice.noteStart(name);
+            choice.recordStart(name);
             ++count;
         }
         return count;
--- a/tests/test_evidence.cpp
+++ b/tests/test_evidence.cpp
@@ -1,5 +1,5 @@
 // Tests the detection of bad versions: late detection exposes callers to a bad version, a false halt stops a good
-// roll-out, and results counted twice cause false halts.
+// roll-out, and counting a result twice distorts both.
 #include "evidence_p.h"
 
 #include <doctest/doctest.h>
@@ -106,7 +106,7 @@
     const auto record = [&](std::string_view version, std::string_view stratum, double rate, int responses) {
         bool rejected = false;
         for (int i = 0; i < responses; ++i) {
-            table.noteResult(version, source.passes(rate), stratum);
+            table.recordResult(version, source.passes(rate), stratum);
             rejected = table.isRejected(config, kNew) || table.isRejected(config, kOld) || rejected;
         }
         return rejected;
@@ -133,7 +133,7 @@
     }
     int responses = 0;
     for (; responses < 300 && !table.isRejected(config, kOld); ++responses)
-        table.noteResult("swift-1", source.passes(0.9));
+        table.recordResult("swift-1", source.passes(0.9));
     CHECK(responses < 60);
 }
 
@@ -195,13 +195,13 @@
     const auto dispatchAttempts = [&](instant now) {
         int count = 0;
         for (; table.hasExposureLeft(config, kNew, now) && count < 100; ++count)
-            table.noteDispatch("swift-2");
+            table.recordDispatch("swift-2");
         return count;
     };
     CHECK(dispatchAttempts(instant{0}) == 2);
     table.setTotals({{"swift-2", 0, 0, 2, 0}}, instant{1000});
     CHECK(dispatchAttempts(instant{1000}) == 2);
-    table.noteResult("swift-2", std::nullopt);
+    table.recordResult("swift-2", std::nullopt);
     CHECK(dispatchAttempts(instant{60'000'000}) == 0);
 }
 
