--- a/tests/test_evidence.cpp
+++ b/tests/test_evidence.cpp
@@ -1,5 +1,5 @@
 // Tests the detection of bad versions: late detection exposes callers to a bad version, a false halt stops a good
-// roll-out, and results counted twice cause false halts.
+// roll-out, and counting a result twice distorts both.
 #include "evidence_p.h"
 
 #include <doctest/doctest.h>
