--- a/src/fleet_feed_p.h
+++ b/src/fleet_feed_p.h
@@ -43,7 +43,7 @@
     virtual void onOthersLoad(const std::vector<replica_load> &loads) = 0;
 
     /// Something worth a line in the log.
-    virtual void onFeedNote(std::string_view type, const std::string &subject, const std::string &detail) = 0;
+    virtual void onFeedEvent(std::string_view type, const std::string &subject, const std::string &detail) = 0;
 };
 
 class fleet_feed
--- a/src/gateway_task.cpp
+++ b/src/gateway_task.cpp
@@ -203,7 +203,7 @@
     m_registry.setStoreReachable(isReachable, suspendAwareNow());
 }
 
-void gateway_task::onFeedNote(std::string_view type, const std::string &subject, const std::string &detail)
+void gateway_task::onFeedEvent(std::string_view type, const std::string &subject, const std::string &detail)
 {
     m_metrics.recordFeedEvent(type);
     m_log.write(type, {{"subject", subject}, {"detail", detail}});
--- a/src/gateway_task_p.h
+++ b/src/gateway_task_p.h
@@ -55,7 +55,7 @@
     {
         m_state.replicas.setOthersLoad(loads, suspendAwareNow());
     }
-    void onFeedNote(std::string_view type, const std::string &subject, const std::string &detail) override;
+    void onFeedEvent(std::string_view type, const std::string &subject, const std::string &detail) override;
 
     [[nodiscard]] result<void> listenForCallers();
     void onAccept(int socket);
--- a/tests/failure_gateway.cpp
+++ b/tests/failure_gateway.cpp
@@ -56,14 +56,14 @@
 {
     gateway_process gateway;
     scripted_replica replica(gateway.loop, "r1", echoAnswer);
-    gateway.store.setMood(store_mood::refusing);
+    gateway.store.setState(store_state::refusing);
     gateway.start();
     REQUIRE(gateway.waitForLog("store_lost", "config"));
     CHECK(gateway.readiness() == 503);
     CHECK(gateway.sendRequest(safe("early")).head.status == 503); // not 401 or 404: it knows no route and no key
     gateway.publish(1);
     gateway.registerReplica(replica);
-    gateway.store.setMood(store_mood::serving);
+    gateway.store.setState(store_state::serving);
     REQUIRE(gateway.runUntil([&] { return gateway.readiness() == 200; }));
     const auto answer = gateway.sendRequest(once("id-1"));
     CHECK(answer.head.status == 200);
@@ -198,7 +198,7 @@
     CHECK(std::ranges::all_of(replicas, [](const auto &replica) { return !replica->requests.empty(); }));
 
     gateway.store.remove("servers", "r1");
-    gateway.store.forgetHistory();
+    gateway.store.discardHistory();
     REQUIRE(gateway.waitForLog("store_history_gone", "servers"));
     REQUIRE(gateway.runUntil([&] { return gateway.metrics().find("replicas 4") != std::string::npos; }));
     const auto before = replicas[0]->requests.size();
@@ -226,12 +226,12 @@
     CHECK(site.sendRequest(once("id-1")).head.status == 200);
     site.signal(SIGSTOP);
     site.publish(2, {"key-2"});
-    site.store.setMood(store_mood::silent);
+    site.store.setState(store_state::silent);
     site.runFor(1200ms); // longer than the lease
     site.signal(SIGCONT);
     CHECK(site.sendRequest(once("id-2")).head.status == 503); // it can't know whether the key still holds
     CHECK(site.readiness() == 503);
-    site.store.setMood(store_mood::serving);
+    site.store.setState(store_state::serving);
     // The answer that had come before the process stood still brings the version, but no lease.
     REQUIRE(site.waitForLog("config_in_force", "\"generation\":2"));
     REQUIRE(site.runUntil([&] { return site.readiness() == 200; }));
@@ -241,12 +241,12 @@
 
 TEST_CASE("gateway process: requests go on while the store is away, in each way in which it is")
 {
-    for (const auto mood : {store_mood::refusing, store_mood::limiting, store_mood::dropping, store_mood::silent}) {
+    for (const auto mood : {store_state::refusing, store_state::limiting, store_state::dropping, store_state::silent}) {
         small_site site;
-        site.store.setMood(mood);
+        site.store.setState(mood);
         REQUIRE(site.waitForLog("store_lost", "servers"));
         CHECK(site.sendRequest(once("id-1")).head.status == 200);
-        site.store.setMood(store_mood::serving);
+        site.store.setState(store_state::serving);
         CHECK(site.waitForLog("store_regained", "servers"));
     }
 }
@@ -375,10 +375,10 @@
 
 TEST_CASE("gateway process: a roll-out is carried out and recorded, whatever becomes of the writes")
 {
-    for (const auto fate : {write_fate::answered, write_fate::unanswered, write_fate::late}) {
+    for (const auto writeOutcome : {write_outcome::answered, write_outcome::response_lost, write_outcome::late}) {
         small_site site;
         scripted_replica newer(site.loop, "r2", echoAnswer);
-        site.store.fate = fate;
+        site.store.writeOutcome = writeOutcome;
         site.registerReplica(newer, "v2");
         site.store.put("rollouts", "s", {{"service", "s"}, {"target", "v2"}, {"duration_s", 6}});
         CHECK(site.runUntil([&] {
--- a/tests/feed_recorder.h
+++ b/tests/feed_recorder.h
@@ -11,7 +11,7 @@
     int confirmed = 0;
     std::vector<std::string> replicas; ///< ids that hold
     std::vector<rollout_order> orders;
-    std::vector<std::string> notes;
+    std::vector<std::string> events;
     bool isReachable = false;
     std::size_t fleetSize = 0;
     std::vector<replica_load> own;
@@ -36,11 +36,14 @@
     void onFleetSize(std::size_t hosts) override { fleetSize = hosts; }
     std::vector<replica_load> ownLoad() const override { return own; }
     void onOthersLoad(const std::vector<replica_load> &loads) override { others = loads; }
-    void onFeedNote(std::string_view type, const std::string &subject, const std::string &) override
+    void onFeedEvent(std::string_view type, const std::string &subject, const std::string &) override
     {
-        notes.push_back(std::string(type) + ' ' + subject);
+        events.push_back(std::string(type) + ' ' + subject);
+    }
+    [[nodiscard]] bool hasEvent(const std::string &note) const
+    {
+        return std::ranges::find(events, note) != events.end();
     }
-    [[nodiscard]] bool hasNote(const std::string &note) const { return std::ranges::find(notes, note) != notes.end(); }
 };
 
 } // namespace foxtaildyke
--- a/tests/standin_store.cpp
+++ b/tests/standin_store.cpp
@@ -81,7 +81,7 @@
     std::erase_if(m_waiting, [this](const auto &watch) { return answerWatch(watch, false); });
 }
 
-void standin_store::forgetHistory()
+void standin_store::discardHistory()
 {
     m_changes.clear();
     m_oldest = ++m_revision;
@@ -89,7 +89,7 @@
         watch.exchange->drop();
 }
 
-void standin_store::setMood(store_mood mood)
+void standin_store::setState(store_state mood)
 {
     m_mood = mood;
     for (auto &exchange : std::exchange(m_unanswered, {}))
@@ -119,15 +119,15 @@
 /// @returns whether the mood has dealt with the call.
 bool standin_store::refuse(const http_exchange_ptr &exchange)
 {
-    if (m_mood == store_mood::refusing)
+    if (m_mood == store_state::refusing)
         exchange->reply(http_status::kServiceUnavailable, {});
-    else if (m_mood == store_mood::limiting)
+    else if (m_mood == store_state::limiting)
         exchange->reply(http_status::kTooManyRequests, {});
-    else if (m_mood == store_mood::dropping)
+    else if (m_mood == store_state::dropping)
         exchange->drop();
-    else if (m_mood == store_mood::silent)
+    else if (m_mood == store_state::silent)
         m_unanswered.push_back(exchange);
-    return m_mood != store_mood::serving;
+    return m_mood != store_state::serving;
 }
 
 void standin_store::serveList(const std::string &kind, const http_exchange_ptr &exchange)
@@ -151,7 +151,7 @@
 {
     const auto after = numberIn(exchange->query, "watch");
     if (after < m_oldest) {
-        ++goneAnswers;
+        ++goneResponses;
         return exchange->reply(http_status::kGone, {});
     }
     const waiting_watch watch{kind, after, exchange};
@@ -187,13 +187,13 @@
                                const http_exchange_ptr &exchange)
 {
     const auto body = json::parse(exchange->body, nullptr, false);
-    if (fate == write_fate::late) {
+    if (writeOutcome == write_outcome::late) {
         m_unanswered.push_back(exchange);
         m_loop.after(writeDelay, [this, kind, name, isStatus, body] { write(kind, name, isStatus, body); });
         return;
     }
     const int status = write(kind, name, isStatus, body);
-    if (fate == write_fate::unanswered)
+    if (writeOutcome == write_outcome::response_lost)
         m_unanswered.push_back(exchange);
     else
         exchange->reply(status, {});
--- a/tests/standin_store.h
+++ b/tests/standin_store.h
@@ -11,7 +11,7 @@
 {
 
 /// How the store treats calls.
-enum class store_mood : std::uint8_t {
+enum class store_state : std::uint8_t {
     serving,
     refusing, ///< 503
     limiting, ///< 429
@@ -21,9 +21,9 @@
 };
 
 /// What becomes of writes.
-enum class write_fate : std::uint8_t {
+enum class write_outcome : std::uint8_t {
     answered,
-    unanswered, ///< done, and the answer is lost
+    response_lost, ///< done, and the answer is lost
     late, ///< done after writeDelay, and never answered
     count
 };
@@ -39,17 +39,17 @@
     [[nodiscard]] nlohmann::json statusOf(const std::string &kind, const std::string &name) const;
 
     /// Forgets all changes until now: older watches get 410.
-    void forgetHistory();
+    void discardHistory();
     /// Changes how calls are treated; watches that wait are cut off.
-    void setMood(store_mood mood);
+    void setState(store_state mood);
 
     http_endpoint endpoint{"127.0.0.1", 0};
-    write_fate fate = write_fate::answered;
+    write_outcome writeOutcome = write_outcome::answered;
     std::chrono::milliseconds writeDelay{300};
     std::size_t pageItems = 500; ///< objects in one page of a list
     std::uint64_t lists = 0; ///< calls that listed a kind
     std::uint64_t calls = 0;
-    std::uint64_t goneAnswers = 0; ///< watches that were answered with 410
+    std::uint64_t goneResponses = 0; ///< watches that were answered with 410
 
 private:
     struct stored_object {
@@ -89,7 +89,7 @@
     std::vector<http_exchange_ptr> m_unanswered; ///< kept open without an answer
     std::uint64_t m_revision = 100;
     std::uint64_t m_oldest = 100; ///< watches from before this revision get 410
-    store_mood m_mood = store_mood::serving;
+    store_state m_mood = store_state::serving;
     http_server m_server;
 };
 
--- a/tests/test_feed_relay.cpp
+++ b/tests/test_feed_relay.cpp
@@ -19,9 +19,9 @@
     return {isRemoved, {name, revision, 1, {{"service", "s"}}, {}}};
 }
 
-std::string newsOf(const platform::kind_mirror &mirror, std::uint64_t revision)
+std::string encodedUpdates(const platform::kind_mirror &mirror, std::uint64_t revision)
 {
-    return platform::encodeFeed({{"servers", mirror.newsFor(revision)}}, 0ms, 1, "{}");
+    return platform::encodeFeed({{"servers", mirror.updatesFor(revision)}}, 0ms, 1, "{}");
 }
 
 nlohmann::json replicaSpec()
@@ -62,7 +62,7 @@
 
     [[nodiscard]] bool allHave(const std::string &note) const
     {
-        return std::ranges::all_of(hosts, [&](const auto &host) { return host->seen.hasNote(note); });
+        return std::ranges::all_of(hosts, [&](const auto &host) { return host->seen.hasEvent(note); });
     }
 
     [[nodiscard]] bool allKnow(const std::string &replica) const
@@ -126,31 +126,31 @@
 TEST_CASE("kind mirror: changes since a revision, or the whole list where they are forgotten")
 {
     platform::kind_mirror mirror;
-    CHECK_FALSE(mirror.isWhole());
-    mirror.takeList({{change("a", 3), change("b", 4)}, false, 10});
-    const auto all = platform::decodeFeed(newsOf(mirror, 0)).value().kinds.at("servers");
+    CHECK_FALSE(mirror.isComplete());
+    mirror.applyList({{change("a", 3), change("b", 4)}, false, 10});
+    const auto all = platform::decodeFeed(encodedUpdates(mirror, 0)).value().kinds.at("servers");
     CHECK(all.isList);
     CHECK(all.page.items.size() == 2);
     CHECK(all.page.revision == 10);
 
-    CHECK_FALSE(mirror.hasNewsFor(10));
-    mirror.takeEvents({{change("c", 11), change("a", 3, true)}, false, 12});
-    CHECK(mirror.hasNewsFor(10));
-    CHECK_FALSE(mirror.hasNewsFor(12));
-    const auto news = platform::decodeFeed(newsOf(mirror, 10)).value().kinds.at("servers");
+    CHECK_FALSE(mirror.hasUpdatesFor(10));
+    mirror.applyEvents({{change("c", 11), change("a", 3, true)}, false, 12});
+    CHECK(mirror.hasUpdatesFor(10));
+    CHECK_FALSE(mirror.hasUpdatesFor(12));
+    const auto news = platform::decodeFeed(encodedUpdates(mirror, 10)).value().kinds.at("servers");
     CHECK_FALSE(news.isList);
     REQUIRE(news.page.items.size() == 2);
     CHECK(news.page.items[1].isRemoved);
     CHECK(news.page.items[0].item.spec["service"] == "s");
     // A host that has read the store itself may be ahead; it is not taken back.
-    const auto ahead = platform::decodeFeed(newsOf(mirror, 20)).value().kinds.at("servers");
+    const auto ahead = platform::decodeFeed(encodedUpdates(mirror, 20)).value().kinds.at("servers");
     CHECK(ahead.page.items.empty());
     CHECK(ahead.page.revision == 20);
 
     for (std::uint64_t i = 13; i < 13 + 600; ++i)
-        mirror.takeEvents({{change("d", i)}, false, i});
-    CHECK(platform::decodeFeed(newsOf(mirror, 12)).value().kinds.at("servers").isList);
-    CHECK_FALSE(platform::decodeFeed(newsOf(mirror, 600)).value().kinds.at("servers").isList);
+        mirror.applyEvents({{change("d", i)}, false, i});
+    CHECK(platform::decodeFeed(encodedUpdates(mirror, 12)).value().kinds.at("servers").isList);
+    CHECK_FALSE(platform::decodeFeed(encodedUpdates(mirror, 600)).value().kinds.at("servers").isList);
 }
 
 TEST_CASE("kind mirror: an answer that can't be used is refused with the field")
@@ -201,9 +201,9 @@
         if (isGone)
             net.relay.reset();
         else
-            net.store.setMood(store_mood::silent);
+            net.store.setState(store_state::silent);
         REQUIRE(net.runUntil([&] { return net.allHave("relay_lost 127.0.0.1"); }));
-        net.store.setMood(store_mood::serving);
+        net.store.setState(store_state::serving);
         net.store.put("servers", "later", replicaSpec());
         CHECK(net.runUntil([&] { return net.allKnow("later"); }));
     }
@@ -213,14 +213,14 @@
 {
     relayed_hosts net(8);
     REQUIRE(net.runUntil([&] { return net.allHave("relay_followed 127.0.0.1"); }));
-    net.store.setMood(store_mood::refusing);
+    net.store.setState(store_state::refusing);
     REQUIRE(net.runUntil([&] { return net.allHave("store_lost servers"); }));
     const auto before = net.store.calls;
     net.runFor(3s);
     // The relay tries each 0.4 s, the others after 0.1, 0.2, 0.4, 0.8, 1.6 s: 8 and 5 calls, besides the first for each
     // kind.
     CHECK(net.store.calls - before < 12 + 8 * 8);
-    net.store.setMood(store_mood::serving);
+    net.store.setState(store_state::serving);
     net.store.put("servers", "later", replicaSpec());
     CHECK(net.runUntil([&] { return net.allKnow("later"); }));
 }
@@ -230,7 +230,7 @@
     relayed_hosts net(3);
     net.runFor(2 * relay_choice::kPollInterval + 500ms);
     for (const auto &host : net.hosts)
-        CHECK_FALSE(host->seen.hasNote("relay_followed 127.0.0.1"));
+        CHECK_FALSE(host->seen.hasEvent("relay_followed 127.0.0.1"));
     net.store.put("servers", "later", replicaSpec());
     CHECK(net.runUntil([&] { return net.allKnow("later"); }));
 }
--- a/tests/test_store_feed.cpp
+++ b/tests/test_store_feed.cpp
@@ -120,8 +120,8 @@
     store.feed.start(store.seen);
     REQUIRE(store.runUntil([&] { return !store.seen.replicas.empty(); }));
     CHECK(store.seen.replicas == std::vector<std::string>{"good"});
-    CHECK(store.seen.hasNote("replica_unusable odd-state"));
-    CHECK(store.seen.hasNote("replica_unusable bytes"));
+    CHECK(store.seen.hasEvent("replica_unusable odd-state"));
+    CHECK(store.seen.hasEvent("replica_unusable bytes"));
 }
 
 TEST_CASE("store feed: a long list is read in pages, and changes come by watch")
@@ -164,11 +164,11 @@
     REQUIRE(store.runUntil([&] { return store.waits.size() >= 2; }));
     CHECK(store.waits[0] == "200");
     CHECK(store.waits[1] == "100");
-    CHECK(store.seen.hasNote("store_lost config"));
+    CHECK(store.seen.hasEvent("store_lost config"));
     store.onWatch = [](const std::string &, const http_exchange_ptr &exchange) {
         exchange->reply(200, eventsOf("", 10));
     };
-    CHECK(store.runUntil([&] { return store.seen.hasNote("store_regained config") && store.seen.isReachable; }));
+    CHECK(store.runUntil([&] { return store.seen.hasEvent("store_regained config") && store.seen.isReachable; }));
 }
 
 TEST_CASE("store feed: the state of a roll-out is written under its revision")
@@ -183,7 +183,7 @@
     };
     store.feed.start(store.seen);
     store.feed.writeRollout({"s", "v2", 12s, rollout_state::rolled_back, 1, 41, 3});
-    REQUIRE(store.runUntil([&] { return store.seen.hasNote("rollout_not_written s"); }));
+    REQUIRE(store.runUntil([&] { return store.seen.hasEvent("rollout_not_written s"); }));
     const auto written = nlohmann::json::parse(body, nullptr, false);
     CHECK(written["metadata"]["revision"] == 41);
     CHECK(written["status"]["state"] == "rolled_back");
