--- a/tests/failure_gateway.cpp
+++ b/tests/failure_gateway.cpp
@@ -56,14 +56,14 @@
 {
     gateway_process gateway;
     scripted_replica replica(gateway.loop, "r1", echoResponse);
-    gateway.store.setMood(store_mood::refusing);
+    gateway.store.setState(store_state::refusing);
     gateway.start();
     REQUIRE(gateway.waitForLog("store_lost", "config"));
     CHECK(gateway.readiness() == 503);
     CHECK(gateway.sendRequest(safeRequest("early")).head.status == 503); // not 401 or 404: no route or key is known yet
     gateway.publish(1);
     gateway.registerReplica(replica);
-    gateway.store.setMood(store_mood::serving);
+    gateway.store.setState(store_state::serving);
     REQUIRE(gateway.runUntil([&] { return gateway.readiness() == 200; }));
     const auto response = gateway.sendRequest(onceRequest("id-1"));
     CHECK(response.head.status == 200);
@@ -205,7 +205,7 @@
     CHECK(std::ranges::all_of(replicas, [](const auto &replica) { return !replica->requests.empty(); }));
 
     gateway.store.remove("servers", "r1");
-    gateway.store.forgetHistory();
+    gateway.store.discardHistory();
     REQUIRE(gateway.waitForLog("store_history_gone", "servers"));
     REQUIRE(gateway.runUntil([&] { return gateway.metrics().find("replicas 4") != std::string::npos; }));
     const auto before = replicas[0]->requests.size();
@@ -233,12 +233,12 @@
     CHECK(fixture.sendRequest(onceRequest("id-1")).head.status == 200);
     fixture.signal(SIGSTOP);
     fixture.publish(2, {"key-2"});
-    fixture.store.setMood(store_mood::silent);
+    fixture.store.setState(store_state::silent);
     fixture.runFor(1200ms); // longer than the lease
     fixture.signal(SIGCONT);
     CHECK(fixture.sendRequest(onceRequest("id-2")).head.status == 503); // it can't know whether the key is still valid
     CHECK(fixture.readiness() == 503);
-    fixture.store.setMood(store_mood::serving);
+    fixture.store.setState(store_state::serving);
     // A response that arrived while the process was suspended delivers the version but must not renew the lease.
     REQUIRE(fixture.waitForLog("config_in_force", "\"generation\":2"));
     REQUIRE(fixture.runUntil([&] { return fixture.readiness() == 200; }));
@@ -248,12 +248,12 @@
 
 TEST_CASE("gateway process: requests are served during each kind of store outage")
 {
-    for (const auto mood : {store_mood::refusing, store_mood::limiting, store_mood::dropping, store_mood::silent}) {
+    for (const auto mood : {store_state::refusing, store_state::limiting, store_state::dropping, store_state::silent}) {
         single_replica_fixture fixture;
-        fixture.store.setMood(mood);
+        fixture.store.setState(mood);
         REQUIRE(fixture.waitForLog("store_lost", "servers"));
         CHECK(fixture.sendRequest(onceRequest("id-1")).head.status == 200);
-        fixture.store.setMood(store_mood::serving);
+        fixture.store.setState(store_state::serving);
         CHECK(fixture.waitForLog("store_regained", "servers"));
     }
 }
@@ -383,10 +383,10 @@
 
 TEST_CASE("gateway process: a roll-out is carried out and recorded even if write responses are lost or late")
 {
-    for (const auto fate : {write_fate::answered, write_fate::unanswered, write_fate::late}) {
+    for (const auto writeOutcome : {write_outcome::answered, write_outcome::response_lost, write_outcome::late}) {
         single_replica_fixture fixture;
         scripted_replica newer(fixture.loop, "r2", echoResponse);
-        fixture.store.fate = fate;
+        fixture.store.writeOutcome = writeOutcome;
         fixture.registerReplica(newer, "v2");
         fixture.store.put("rollouts", "s", {{"service", "s"}, {"target", "v2"}, {"duration_s", 6}});
         CHECK(fixture.runUntil([&] {
