--- a/include/foxtaildyke/foxtaildyke.h
+++ b/include/foxtaildyke/foxtaildyke.h
@@ -1,5 +1,5 @@
-// The map of the library: handles, enumerations with their name tables, errors and the result type.
-// Every other header builds on this one. Nothing here does I/O.
+// Basic types of the library: handles, enumerations with their name tables, errors and the result type.
+// All other headers depend on this one. It does no I/O.
 #pragma once
 
 #include <algorithm>
@@ -15,11 +15,11 @@
 namespace foxtaildyke
 {
 
-/// Monotonic time since an arbitrary start, in microseconds. Instants of two processes are not comparable.
+/// Monotonic time since an arbitrary epoch, in microseconds. Not comparable between processes.
 using instant = std::chrono::microseconds;
 
-/// Small index into a table of the configuration in force.
-/// @remarks A handle is valid only with the generation of the table it came from; names are stable, handles are not.
+/// Index into a table of the configuration in force.
+/// @remarks A handle is valid only within the generation it was obtained from. Names are stable across generations.
 template <typename tag>
 struct handle {
     static constexpr std::uint16_t kInvalidIndex = UINT16_MAX;
@@ -36,26 +36,26 @@
 using upstream_handle = handle<struct upstream_tag>;
 using host_handle = handle<struct host_tag>;
 
-/// Number of a configuration; 0 means that none is known yet.
+/// Sequence number of a configuration; 0 means that none is known yet.
 using generation_number = std::uint64_t;
 
 /// Identifies a request inside one router process.
 enum class request_token : std::uint64_t {};
 
-/// Identifies an attempt inside one router process; sent to the upstream together with the host's name.
+/// Identifies an attempt inside one router process. The upstream receives it together with the host's name.
 enum class attempt_token : std::uint64_t {};
 
-/// What a caller is told about its request.
+/// Outcome of a request, as reported to its caller.
 enum class outcome_kind : std::uint8_t {
-    complete, ///< whole answer delivered
-    invalid, ///< malformed or unauthenticated; no upstream has seen it
-    not_run, ///< refused; no upstream has seen it
-    may_have_run, ///< another attempt exists whose result is unknown; not repeated
-    failed_after_run, ///< an upstream saw it and no whole answer came
+    complete, ///< complete response delivered
+    invalid, ///< malformed or unauthenticated; not sent to any upstream
+    not_run, ///< refused; not sent to any upstream
+    may_have_run, ///< the result of an earlier attempt is unknown; not retried
+    failed_after_run, ///< sent to an upstream, without a complete response
     count
 };
 
-/// Why a request ended without a whole answer.
+/// Reason why a request ended without a complete response.
 enum class reason_code : std::uint8_t {
     none,
     unknown_account,
@@ -85,33 +85,33 @@
     count
 };
 
-/// Scheduling class; a lower value goes first.
+/// Scheduling class; a lower value has priority.
 enum class request_class : std::uint8_t { interactive, standard, batch, count };
 
-/// Life of a version. Withdrawn is final.
+/// Lifecycle state of a version. Withdrawn is final.
 enum class version_state : std::uint8_t {
-    rolling_out, ///< gets a share of new sessions within its exposure budget
-    active, ///< gets new sessions
-    halted, ///< no new sessions; running sessions go on
-    withdrawn, ///< no work at all
+    rolling_out, ///< receives a share of new sessions within its exposure budget
+    active, ///< receives new sessions
+    halted, ///< no new sessions; existing sessions continue
+    withdrawn, ///< receives no requests
     count
 };
 
 /// State of a host in the platform's host list.
 enum class host_state : std::uint8_t { live, leaving, count };
 
-/// How an attempt ended without a whole answer.
+/// Ways in which an attempt ends without a complete response.
 enum class attempt_failure : std::uint8_t {
     not_sent, ///< nothing was written to the upstream's socket
-    overloaded, ///< the upstream refused before running (HTTP 429 or 503)
-    connection_lost, ///< lost after sending; the upstream may have run it
-    truncated, ///< stream ended without the final event
+    overloaded, ///< refused by the upstream before running (HTTP 429 or 503)
+    connection_lost, ///< lost after sending; the upstream may have run the attempt
+    truncated, ///< the stream ended without its final event
     timed_out, ///< cancelled at the attempt's deadline
-    rejected, ///< the upstream refused with another HTTP status
+    rejected, ///< refused by the upstream with another HTTP status
     count
 };
 
-/// Types of failure inside the library and between processes.
+/// Errors inside the library and between processes.
 enum class error_code : std::uint8_t {
     invalid_syntax,
     unknown_section,
@@ -134,17 +134,17 @@
     count
 };
 
-/// A failure: its type and the field, key or object it concerns.
+/// An error code with the field, key or object it concerns.
 struct error {
     error_code code = error_code::io_failure;
     std::string field;
 };
 
-/// Value or error. Observers are unchecked: test the result before reading it.
+/// Value or error. Access is unchecked: test the result before reading the value.
 template <typename value_type>
 using result = BOOST_OUTCOME_V2_NAMESPACE::unchecked<value_type, error>;
 
-/// Names of an enumeration, in the order of its values; also used on the wire and in logs.
+/// Names of the values of an enumeration, in order. They are used on the wire and in logs.
 template <typename enumeration>
 struct enum_names;
 
@@ -234,7 +234,7 @@
     return enum_names<enumeration>::kNames[static_cast<std::size_t>(value)];
 }
 
-/// @returns the value with this name, or nothing where the name is unknown.
+/// @returns the value with this name, or nothing if the name is unknown.
 template <typename enumeration>
 [[nodiscard]] constexpr std::optional<enumeration> valueOf(std::string_view name)
 {
--- a/src/ports_p.h
+++ b/src/ports_p.h
@@ -1,5 +1,5 @@
-// Ports of the router task towards the ledger, the configuration and the other hosts. Adapters: store_ports.cpp (object
-// store only), and the relay and ledger adapters.
+// Interfaces of the router task to the ledger, the configuration and the other hosts. Implemented by store_ports.cpp
+// (object store only) and by the relay and ledger adapters.
 #pragma once
 
 #include "platform_client_p.h"
@@ -10,26 +10,26 @@
 namespace foxtaildyke
 {
 
-/// Takes an input for the decision core. Only on the router's task; may be called at any time, also from inside a port.
+/// Passes an input to the decision core. Called only on the router's task, at any time, also from within a port.
 using core_sink = std::function<void(core_input)>;
 
-/// What the router task tells every port, on its own task.
+/// Notifications from the router task to every port, called on the router's task.
 class port_events
 {
 public:
     virtual ~port_events() = default;
 
-    /// A configuration has come into force on this host.
+    /// A new configuration is in force on this host.
     virtual void onConfig(const fleet_ptr &) { }
 
-    /// The host list has changed. Only entry hosts are given.
+    /// The host list has changed. The argument contains only entry hosts.
     virtual void onEntryHosts(const std::vector<listed_host> &) { }
 
-    /// A planned stop has begun.
+    /// A planned shutdown has begun.
     virtual void onDrain() { }
 };
 
-/// Writes claims, pins and bills. Each is answered by exactly one ledger_response to the sink.
+/// Writes claims, pins and bills, and delivers exactly one ledger_reply for each to the sink.
 class ledger_port : public port_events
 {
 public:
@@ -37,7 +37,7 @@
     virtual void pin(const write_pin &record) = 0;
     virtual void bill(const write_bill &record) = 0;
 
-    /// @returns whether nothing is left to write; a host that drains waits for it.
+    /// @returns whether no write is pending; a draining host waits for this.
     [[nodiscard]] virtual bool isIdle() const = 0;
 };
 
@@ -48,7 +48,8 @@
     virtual void start() = 0;
 };
 
-/// Shares what this host learnt with the other hosts, and delivers their evidence, quarantine and limit shares.
+/// Sends this host's evidence, estimates, halts and quarantine entries to the other hosts, and delivers theirs and this
+/// host's limit shares to the sink.
 class sharing_port : public port_events
 {
 public:
@@ -57,8 +58,8 @@
     virtual void share(const share_halt &halt) = 0;
     virtual void share(const share_quarantine &entry) = 0;
 
-    /// Counts a request for the demand of its client account.
-    virtual void recordRequest(const std::string &apiKey) = 0;
+    /// Counts a request towards the demand of its client account.
+    virtual void noteRequest(const std::string &apiKey) = 0;
 };
 
 } // namespace foxtaildyke
--- a/src/router_core_p.h
+++ b/src/router_core_p.h
@@ -1,5 +1,5 @@
-// Decision core of the router: a state machine over all requests in flight of one host. It does no I/O and reads no
-// clock; inputs come with their time, and what has to be done comes back as actions.
+// Decision core of the router: a state machine over all requests in flight on one host. It does no I/O and reads no
+// clock. Each input comes with its time, and the core returns actions for the caller to perform.
 #pragma once
 
 #include "admission_p.h"
@@ -30,9 +30,9 @@
     std::string kind;
     std::string prompt;
     std::uint32_t maxTokens = 0; ///< 0: the kind's limit
-    std::optional<std::chrono::milliseconds> deadline; ///< from arrival
+    std::optional<std::chrono::milliseconds> deadline; ///< relative to arrival
     bool stream = false;
-    std::int64_t unixSeconds = 0; ///< wall clock at arrival, to check the age of the request id
+    std::int64_t unixSeconds = 0; ///< wall clock at arrival; the age of the request id is checked against it
 };
 struct caller_gone {
     request_token request{};
@@ -51,14 +51,14 @@
     attempt_failure failure = attempt_failure::not_sent;
 };
 
-/// Answer of the ledger to a claim, pin or bill.
+/// Result of writing a claim, pin or bill to the ledger.
 enum class ledger_status : std::uint8_t {
-    written, ///< durable, and the first of its type for the key
-    exists_open, ///< claim: another claim without a bill
-    exists_billed, ///< claim: already run and billed; `answer` is set where it was stored
-    exists_pinned, ///< pin: an earlier pin holds; `pins` is set
-    copied, ///< bill: store down; a host in another failure domain holds a copy
-    unavailable, ///< nothing was written and nothing will be
+    written, ///< durable, and the first record of its type for the key
+    exists_open, ///< claim: the ledger contains another claim without a bill
+    exists_billed, ///< claim: already run and billed; `answer` is set if it was stored
+    exists_pinned, ///< pin: an earlier pin applies; `pins` is set
+    copied, ///< bill: store unavailable; a host in another failure domain has a copy
+    unavailable, ///< nothing was written, and nothing will be written later
     unknown, ///< claim: it may or may not have been written
     count
 };
@@ -68,7 +68,7 @@
                                        "copied",  "unavailable", "unknown"};
 };
 
-/// Which action a ledger_response answers. Without it a pin's late or doubled reply could pass for a claim's.
+/// Action that a ledger_reply belongs to. Keeps a late or duplicate response to a pin from being taken for a claim's.
 enum class ledger_step : std::uint8_t { claim, bill, pin, count };
 
 template <>
@@ -80,20 +80,20 @@
     request_token request{};
     ledger_step step = ledger_step::claim;
     ledger_status status = ledger_status::unavailable;
-    std::string answer; ///< stored answer as JSON
+    std::string answer; ///< stored response as JSON
     std::vector<std::string> pins; ///< version names
 };
 struct rating_response {
     request_token request{};
-    attempt_token attempt{}; ///< as in request_rating
-    std::optional<std::uint32_t> scorePermille; ///< nothing: the rating service did not answer
+    attempt_token attempt{}; ///< as in ask_rating
+    std::optional<std::uint32_t> scorePermille; ///< not set: the rating service did not respond
 };
 struct config_changed {
     fleet_ptr config;
 };
 struct lease_changed {
     generation_number generation = 0;
-    instant expiresAt{}; ///< no dispatch under this generation at or after this time
+    instant expiresAt{}; ///< dispatch under this generation is allowed only before this time
 };
 struct upstreams_changed {
     std::vector<upstream_info> upstreams;
@@ -103,15 +103,15 @@
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     std::uint32_t slots = 0;
-    instant measuredAt{}; ///< on this host's clock
+    instant measuredAt{}; ///< by this host's clock
 };
 /// Totals over all hosts, from the relay.
 struct evidence_update {
     std::vector<version_evidence> totals;
     std::vector<std::string> haltedVersions;
-    std::vector<version_evidence> ownContribution; ///< what `totals` holds of this host's deltas
+    std::vector<version_evidence> ownPart; ///< this host's own deltas that `totals` already includes
 };
-/// Rated answers of other hosts that are new since the last update, from the relay.
+/// Rated responses of other hosts since the last update, from the relay.
 struct estimates_update {
     std::vector<estimate_counts> counts;
 };
@@ -147,7 +147,7 @@
     std::uint32_t maxTokens = 0;
     request_class priority = request_class::standard;
     generation_number generation = 0;
-    std::chrono::milliseconds timeout{}; ///< until the attempt's deadline
+    std::chrono::milliseconds timeout{}; ///< time left until the attempt's deadline
 };
 struct cancel_attempt {
     attempt_token attempt{};
@@ -156,22 +156,22 @@
     request_token request{};
     std::string text;
 };
-/// Final answer of a request. Exactly one for each caller_request.
+/// Final response to a request. Emitted exactly once for each caller_request.
 struct finish_request {
     request_token request{};
     outcome_kind outcome = outcome_kind::not_run;
     reason_code reason = reason_code::none;
-    std::string field; ///< names the offending field of an invalid request
+    std::string field; ///< offending field of an invalid request
     std::chrono::milliseconds retryAfter{}; ///< 0: none
     std::string requestId;
     std::string model;
     std::string version;
-    std::string text; ///< buffered part of the answer that send_chunk has not delivered
+    std::string text; ///< part of the response that send_chunk has not delivered
     std::string sessionToken;
     std::uint32_t promptTokens = 0;
     std::uint32_t completionTokens = 0;
     std::uint64_t costMicroUnits = 0;
-    std::string storedResponse; ///< JSON of an earlier run, where the ledger had it
+    std::string storedAnswer; ///< response of an earlier run as JSON, if the ledger has it
 };
 struct write_claim {
     request_token request{};
@@ -187,7 +187,7 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t completionTokens = 0;
     std::uint64_t costMicroUnits = 0;
-    std::string answer; ///< JSON; empty where it is not kept
+    std::string answer; ///< response as JSON; empty if it is not stored
 };
 struct write_pin {
     request_token request{};
@@ -195,10 +195,10 @@
     std::string sessionId;
     std::vector<std::string> versions; ///< proposed version names, one for each model that is open to the account
 };
-/// The request may already have its final answer; the reply is then used as evidence only.
-struct request_rating {
+/// Requests a rating. If the request already has its final response, the rating is used as evidence only.
+struct ask_rating {
     request_token request{};
-    attempt_token attempt{}; ///< whose answer is rated; a cascade rates several answers of one request
+    attempt_token attempt{}; ///< attempt to rate; a cascade may rate several attempts of one request
     std::string kind;
     std::string text;
 };
@@ -206,7 +206,7 @@
 struct share_evidence {
     version_evidence delta;
 };
-/// Rated answers to share with the other hosts.
+/// Counts of rated responses to share with the other hosts.
 struct share_estimates {
     std::vector<estimate_counts> delta;
 };
@@ -216,7 +216,7 @@
 struct share_quarantine {
     std::uint64_t fingerprint = 0;
 };
-/// One line of the time line.
+/// One event for the event log.
 struct record_event {
     std::string type; ///< for example "admitted", "dispatched", "escalated"
     request_token request{};
@@ -226,56 +226,56 @@
     std::string version;
     std::string upstream;
     generation_number generation = 0;
-    std::string reason; ///< why the core decided so
+    std::string reason; ///< reason of the decision
 };
 
 using core_action =
     std::variant<start_attempt, cancel_attempt, send_chunk, finish_request, write_claim, write_bill, write_pin,
                  request_rating, share_evidence, share_estimates, share_halt, share_quarantine, record_event>;
 
-/// State machine over the requests in flight of one host.
-/// @remarks What a caller is told:
-/// - `not_run`: no attempt of this submission was sent. Where a claim was written but its attempt was certainly never
-///   sent, a resend with the same request id through this host runs; through another host, or after a restart, it is
-///   answered `may_have_run`, because the claim stays in the ledger.
-/// - `may_have_run`: an equal request id is in flight here, the ledger holds another claim without a stored answer, or
-///   the reply to a claim was lost.
-/// - `failed_after_run`: an attempt was sent. A non-idempotent one runs on past its caller's deadline or disconnection
-///   to its bill, so that a resend gets the stored answer.
-/// - `complete`: the bill was written before. An answer whose bill can't be written is withheld (store_unavailable).
-/// An idempotent attempt, or an answer not yet billed, of a version that is withdrawn is cancelled and repeated on
-/// another version within the retry budget, but never in a session. A non-idempotent one runs on, as its effect can't
-/// be undone. An answer below the target is delivered where no stronger model can run in time.
+/// State machine over the requests in flight on one host.
+/// @remarks Meaning of the outcomes:
+/// - `not_run`: no attempt of this submission was sent. If a claim was written but its attempt was never sent, a resend
+///   with the same request id through this host runs. Through another host, or after a restart, the outcome is
+///   `may_have_run`, because the claim stays in the ledger.
+/// - `may_have_run`: a request with the same id is in flight on this host, the ledger contains another claim without a
+///   stored response, or the response to a claim was lost.
+/// - `failed_after_run`: an attempt was sent. A non-idempotent attempt continues past its caller's deadline or
+///   disconnection until it is billed, so that a resend gets the stored response.
+/// - `complete`: the bill is already written. A response whose bill can't be written is withheld (store_unavailable).
+/// When a version is withdrawn, its idempotent attempts and its responses that are not yet billed are cancelled and
+/// retried on another version within the retry budget, but never in a session. A non-idempotent attempt continues, as
+/// its effect can't be undone. A response below the target is delivered if no stronger model can run in time.
 class router_core
 {
 public:
     /// @param hostName name of this host; part of every attempt id.
-    /// @param failureDomain where this host stands; near upstreams are preferred.
-    /// @param seed of the random choices; equal seeds and inputs give equal actions.
+    /// @param failureDomain failure domain of this host; upstreams in the same one are preferred.
+    /// @param seed seed of the random choices; equal seeds and inputs give equal actions.
     router_core(std::string hostName, std::string failureDomain, std::uint64_t seed);
     ~router_core();
 
-    /// Takes one input.
-    /// @param now time of the input; never before the time of the input before.
+    /// Processes one input.
+    /// @param now time of the input; must not decrease from one input to the next.
     void handle(const core_input &input, instant now);
 
     /// @returns the actions since the last call, in order.
     [[nodiscard]] std::vector<core_action> takeActions();
 
-    /// @returns requests per account since the last call, refused ones included: the demand that limit_shares follow.
+    /// @returns requests for each account since the last call, including refused ones. limit_shares follow this demand.
     [[nodiscard]] std::vector<account_arrivals> takeArrivals();
 
-    /// @returns rated answers per kind and version since the last call, to be shared with the other hosts.
+    /// @returns counts of rated responses by kind and version since the last call, to be shared with the other hosts.
     [[nodiscard]] std::vector<estimate_counts> takeEstimates();
 
-    /// Takes rated answers of other hosts into account.
-    /// @param counts new answers only, not sums.
+    /// Adds rated responses of other hosts to the estimates.
+    /// @param counts new responses since the last call, not totals.
     void learnEstimates(const std::vector<estimate_counts> &counts);
 
-    /// @returns when timer_tick is due next, or nothing.
+    /// @returns time of the next timer_tick, if any.
     [[nodiscard]] std::optional<instant> nextTimer() const;
 
-    /// @returns requests that have no final answer yet, and those whose attempt still runs on to its bill.
+    /// @returns number of requests without a final response, and of those whose attempt is not yet billed.
     [[nodiscard]] std::size_t openRequests() const;
 
 private:
