--- a/src/router_core.cpp
+++ b/src/router_core.cpp
@@ -1,4 +1,4 @@
-// Decision core of the router: inputs, timers and the time line; see router_core_p.h.
+// Decision core of the router: inputs, timers and the event log; see router_core_p.h.
 #include "router_core_state_p.h"
 
 namespace foxtaildyke
@@ -7,8 +7,10 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kQueuePollMs{50}; ///< queued requests are tried again at least this often
-constexpr std::chrono::milliseconds kReplanMs{500}; ///< plans of queued requests may depend on the remaining time
+constexpr std::chrono::milliseconds kQueuePollIntervalMs{
+    50}; ///< maximum time between two dispatch passes over the queue
+constexpr std::chrono::milliseconds kReplanIntervalMs{
+    500}; ///< plans depend on the remaining time, so they are renewed this often
 
 } // namespace
 
@@ -23,7 +25,7 @@
 {
     auto &core = *m_impl;
     core.m_now = std::max(core.m_now, now);
-    core.noteLease();
+    core.recordLeaseState();
     std::visit([&](const auto &value) { core.on(value); }, input);
     if (!std::exchange(core.m_evidenceChanged, false))
         return;
@@ -50,8 +52,8 @@
 
 void router_core::learnEstimates(const std::vector<estimate_counts> &counts)
 {
-    m_impl->m_policy.mergeRemoteCounts(counts);
-    ++m_impl->m_epoch;
+    m_impl->m_policy.learnFromOthers(counts);
+    ++m_impl->m_planEpoch;
 }
 
 std::optional<instant> router_core::nextTimer() const
@@ -61,14 +63,14 @@
     const auto consider = [&](instant time) {
         next = next ? std::min(*next, time) : time;
     };
-    if (!core.m_deadlines.empty())
-        consider(core.m_deadlines.begin()->first);
+    if (!core.m_timers.empty())
+        consider(core.m_timers.begin()->first);
     if (!core.m_admission.order(1).empty())
-        consider(core.m_tickedAt + kQueuePollMs);
+        consider(core.m_lastTickAt + kQueuePollIntervalMs);
     for (const auto &[attempt, entry] : core.m_attempts)
         consider(entry.stopAt);
     for (const auto &[attempt, entry] : core.m_ratings)
-        consider(entry.givenUpAt);
+        consider(entry.timesOutAt);
     return next;
 }
 
@@ -92,53 +94,53 @@
     if (!isNewer)
         return;
     m_config = input.config;
-    noteLease();
-    ++m_epoch;
+    recordLeaseState();
+    ++m_planEpoch;
     record("configured", "newer generation");
     std::vector<request_token> open;
     for (const auto &[token, request] : m_requests)
         open.push_back(token);
     std::ranges::sort(open);
     for (const auto token : open) {
-        if (auto *request = find(token))
-            stopWithdrawn(*request);
+        if (auto *request = findRequest(token))
+            cancelIfWithdrawn(*request);
     }
-    pump();
+    dispatchQueued();
 }
 
 void router_core::implementation::on(const lease_changed &input)
 {
     m_lease = input;
-    noteLease();
-    ++m_epoch;
-    pump();
+    recordLeaseState();
+    ++m_planEpoch;
+    dispatchQueued();
 }
 
 void router_core::implementation::on(const upstreams_changed &input)
 {
     m_upstreams = input.upstreams;
     m_balancer.setUpstreams(input.upstreams);
-    ++m_epoch;
-    pump();
+    ++m_planEpoch;
+    dispatchQueued();
 }
 
 void router_core::implementation::on(const load_report &input)
 {
     m_balancer.report(input.upstream, input.running, input.queued, input.slots, input.measuredAt);
-    pump();
+    dispatchQueued();
 }
 
 void router_core::implementation::on(const evidence_update &input)
 {
-    m_evidence.setTotals(input.totals, m_now, input.ownContribution);
-    ++m_epoch;
+    m_evidence.setTotals(input.totals, m_now, input.ownPart);
+    ++m_planEpoch;
     for (const auto &version : input.haltedVersions) {
-        if (m_halted.insert(version).second)
+        if (m_haltedVersions.insert(version).second)
             record("halted", "reported by another host: " + version);
     }
     for (const auto &total : input.totals)
         checkEvidence(total.version);
-    pump();
+    dispatchQueued();
 }
 
 void router_core::implementation::on(const estimates_update &input)
@@ -152,8 +154,8 @@
         return;
     for (const auto fingerprint : input.fingerprints)
         m_quarantine.block(fingerprint, m_config->tune, m_now);
-    ++m_epoch;
-    pump();
+    ++m_planEpoch;
+    dispatchQueued();
 }
 
 void router_core::implementation::on(const limit_shares &input)
@@ -164,31 +166,31 @@
 
 void router_core::implementation::on(const timer_tick &)
 {
-    while (!m_deadlines.empty() && m_deadlines.begin()->first <= m_now) {
-        const auto token = m_deadlines.begin()->second;
-        m_deadlines.erase(m_deadlines.begin());
-        if (auto *request = find(token))
+    while (!m_timers.empty() && m_timers.begin()->first <= m_now) {
+        const auto token = m_timers.begin()->second;
+        m_timers.erase(m_timers.begin());
+        if (auto *request = findRequest(token))
             onDeadline(*request);
     }
-    std::vector<request_token> stuck;
+    std::vector<request_token> overdue;
     for (const auto &[attempt, entry] : m_attempts) {
         if (entry.stopAt <= m_now)
-            stuck.push_back(entry.request);
+            overdue.push_back(entry.request);
     }
-    std::ranges::sort(stuck);
-    for (const auto token : stuck) {
+    std::ranges::sort(overdue);
+    for (const auto token : overdue) {
         auto &request = *m_requests.at(token);
         cancelAttempt(request, "no event of the attempt before its time limit");
         fail(request, reason_code::deadline_exceeded);
     }
     expireRatings();
-    m_tickedAt = m_now;
-    if (m_now >= m_epochAt + kReplanMs) {
-        m_epochAt = m_now;
-        ++m_epoch;
+    m_lastTickAt = m_now;
+    if (m_now >= m_replannedAt + kReplanIntervalMs) {
+        m_replannedAt = m_now;
+        ++m_planEpoch;
     }
-    pump();
-    refuseLate();
+    dispatchQueued();
+    failUnreachable();
 }
 
 void router_core::implementation::on(const drain_request &)
@@ -198,7 +200,7 @@
     record("draining", "planned stop; " + std::to_string(m_requests.size()) + " requests are open");
 }
 
-void router_core::implementation::noteLease()
+void router_core::implementation::recordLeaseState()
 {
     if (hasLease())
         m_noLeaseSince.reset();
@@ -206,7 +208,7 @@
         m_noLeaseSince = m_now;
 }
 
-open_request *router_core::implementation::find(request_token request)
+open_request *router_core::implementation::findRequest(request_token request)
 {
     const auto found = m_requests.find(request);
     return found == m_requests.end() ? nullptr : found->second.get();
@@ -219,7 +221,7 @@
                        .requestId = request.requestId,
                        .sessionId = request.input.sessionId,
                        .account = request.account,
-                       .version = request.answer.version,
+                       .version = request.response.version,
                        .generation = m_config ? m_config->generation : 0,
                        .reason = std::move(reason)};
     if (request.attempt)
--- a/src/router_core_attempts.cpp
+++ b/src/router_core_attempts.cpp
@@ -1,4 +1,4 @@
-// Decision core, third stage: events of attempts, and whether a failed one may be repeated.
+// Decision core, third stage: events of attempts, and whether a failed request may be retried.
 #include "router_core_state_p.h"
 
 namespace foxtaildyke
@@ -7,27 +7,29 @@
 namespace
 {
 
-constexpr std::uint32_t kRetriesAfterRun = 1; ///< the retry on another upstream
-constexpr std::uint32_t kRetriesNotRun = 2; ///< where no upstream has run anything
-constexpr std::size_t kAnswerBytesLimit = std::size_t{4}
-    << 20; ///< an upstream that ignores max_tokens must not fill the memory
-constexpr double kSmoothing = 0.2; ///< weight of the newest value in a smoothed one
+constexpr std::uint32_t kRetriesAfterRun =
+    1; ///< where an upstream may have run the attempt: one retry, on another upstream
+constexpr std::uint32_t kRetriesNotRun = 2; ///< where no upstream has run the attempt
+constexpr std::size_t kResponseBytesLimit = std::size_t{4}
+    << 20; ///< bounds memory where an upstream ignores max_tokens
+constexpr double kSmoothing = 0.2; ///< weight of the newest value in an exponential moving average
 
-std::uint64_t costOf(const attempt_response &answer)
+std::uint64_t costOf(const attempt_answer &response)
 {
     constexpr std::uint64_t kTokensPerPrice = 1000;
-    const std::uint64_t cost = std::uint64_t{answer.promptTokens} * answer.promptMicroUnitsPer1k
-        + std::uint64_t{answer.completionTokens} * answer.completionMicroUnitsPer1k;
+    const std::uint64_t cost = std::uint64_t{response.promptTokens} * response.promptMicroUnitsPer1k
+        + std::uint64_t{response.completionTokens} * response.completionMicroUnitsPer1k;
     return (cost + kTokensPerPrice - 1) / kTokensPerPrice;
 }
 
-bool mayRun(attempt_failure failure)
+bool upstreamMayHaveRun(attempt_failure failure)
 {
     return failure != attempt_failure::not_sent && failure != attempt_failure::overloaded;
 }
 
-/// @returns whether the failure tells something about the version. A lost connection tells of the replica: one crash
-/// ends all its attempts at once, on all hosts, and would halt a good version. The circuit breaker acts on it.
+/// @returns whether the failure counts as evidence against the version. A lost connection concerns the replica only:
+/// one crash ends all its attempts at once, on all hosts, and would halt a good version. The circuit breaker handles
+/// it.
 bool isVersionFault(attempt_failure failure)
 {
     return failure == attempt_failure::truncated || failure == attempt_failure::rejected;
@@ -66,17 +68,17 @@
     if (!request)
         return;
     auto &attempt = m_attempts.at(input.attempt);
-    attempt.sawChunk = true;
-    request->answer.text += input.text;
-    if (request->answer.text.size() > kAnswerBytesLimit) {
+    attempt.receivedChunk = true;
+    request->response.text += input.text;
+    if (request->response.text.size() > kResponseBytesLimit) {
         request->avoidUpstream = attempt.upstream;
-        cancelAttempt(*request, "answer longer than the limit");
+        cancelAttempt(*request, "response longer than the limit");
         retryOrFail(*request, reason_code::upstream_failed, true);
-        return pump();
+        return dispatchQueued();
     }
-    if (!request->input.stream || attempt.rateFirst || request->answered || request->callerGone)
+    if (!request->input.stream || attempt.rateBeforeDelivery || request->finished || request->callerGone)
         return;
-    request->deliveredBytes = request->answer.text.size();
+    request->deliveredBytes = request->response.text.size();
     m_actions.emplace_back(send_chunk{request->input.request, input.text});
 }
 
@@ -86,19 +88,19 @@
     if (!request)
         return;
     const auto attempt = m_attempts.at(input.attempt);
-    request->answer.promptTokens = input.promptTokens;
-    request->answer.completionTokens = input.completionTokens;
-    request->costMicroUnits += costOf(request->answer);
-    noteSize(*request, attempt);
+    request->response.promptTokens = input.promptTokens;
+    request->response.completionTokens = input.completionTokens;
+    request->costMicroUnits += costOf(request->response);
+    recordResponseStats(*request, attempt);
     endAttempt(*request, std::nullopt);
-    askRating(*request);
-    if (attempt.rateFirst && !request->answered) {
+    requestRating(*request);
+    if (attempt.rateBeforeDelivery && !request->finished) {
         request->phase = request_phase::rating;
         record("rating", *request, "a stronger model is left, so the answer is rated before delivery");
     } else {
         startBill(*request, "whole answer");
     }
-    pump();
+    dispatchQueued();
 }
 
 void router_core::implementation::on(const attempt_failed &input)
@@ -107,11 +109,12 @@
     if (!request)
         return;
     const auto attempt = m_attempts.at(input.attempt);
-    // An upstream that has sent text has run the request, whatever the adapter says.
-    const auto failure = attempt.sawChunk && !mayRun(input.failure) ? attempt_failure::connection_lost : input.failure;
+    // An upstream that has sent text has run the request, whatever failure the adapter reports.
+    const auto failure =
+        attempt.receivedChunk && !upstreamMayHaveRun(input.failure) ? attempt_failure::connection_lost : input.failure;
     record("attempt_failed", *request, std::string(nameOf(failure)));
     endAttempt(*request, failure);
-    settleFailure(*request, attempt, failure);
+    recordFailure(*request, attempt, failure);
     request->avoidUpstream = attempt.upstream;
     auto reason = reasonOf(failure);
     if (failure == attempt_failure::connection_lost
@@ -120,43 +123,43 @@
         m_actions.emplace_back(share_quarantine{request->fingerprint});
         reason = reason_code::quarantined;
     }
-    retryOrFail(*request, reason, mayRun(failure));
-    pump();
+    retryOrFail(*request, reason, upstreamMayHaveRun(failure));
+    dispatchQueued();
 }
 
 void router_core::implementation::on(const caller_gone &input)
 {
-    auto *request = find(input.request);
-    if (!request || request->answered || request->callerGone)
+    auto *request = findRequest(input.request);
+    if (!request || request->finished || request->callerGone)
         return;
     request->callerGone = true;
     record("caller_gone", *request, "in phase " + std::string(nameOf(request->phase)));
     if (request->phase == request_phase::billing)
         return;
     if (request->phase == request_phase::running && !request->idempotent)
-        return; // Runs on to its bill, so that a resend gets the stored answer.
+        return; // Continues until it is billed, so that a resend gets the stored response.
     if (request->phase == request_phase::claiming)
         return finish(*request, {.outcome = outcome_kind::may_have_run, .reason = reason_code::caller_gone});
     if (request->attempt)
         cancelAttempt(*request, "caller gone");
     fail(*request, reason_code::caller_gone);
-    pump();
+    dispatchQueued();
 }
 
 void router_core::implementation::endAttempt(open_request &request, std::optional<attempt_failure> failure)
 {
     const auto found = m_attempts.find(*request.attempt);
     const auto duration = std::chrono::duration_cast<std::chrono::milliseconds>(m_now - found->second.startedAt);
-    m_balancer.recordEnd(found->second.upstream, failure, m_now);
-    m_admission.recordEnd(found->second.service, request.priority, duration);
-    const auto running = m_running.find(request.fingerprint);
+    m_balancer.noteEnd(found->second.upstream, failure, m_now);
+    m_admission.noteEnd(found->second.service, request.priority, duration);
+    const auto running = m_runningByFingerprint.find(request.fingerprint);
     if (--running->second == 0)
-        m_running.erase(running);
+        m_runningByFingerprint.erase(running);
     m_attempts.erase(found);
     request.lastAttempt = *request.attempt;
     request.attempt.reset();
-    m_epoch += failure ? 1 : 0; // The circuit of the upstream may have opened.
-    request.mayHaveRun = request.mayHaveRun || !failure || mayRun(*failure);
+    m_planEpoch += failure ? 1 : 0; // The failure may have opened the circuit breaker of the upstream.
+    request.mayHaveRun = request.mayHaveRun || !failure || upstreamMayHaveRun(*failure);
 }
 
 void router_core::implementation::cancelAttempt(open_request &request, std::string reason)
@@ -166,21 +169,21 @@
     const auto attempt = m_attempts.at(*request.attempt);
     const bool isLate = m_now >= request.deadline;
     endAttempt(request, isLate ? std::optional(attempt_failure::timed_out) : std::nullopt);
-    settleFailure(request, attempt, isLate ? attempt_failure::timed_out : attempt_failure::not_sent);
+    recordFailure(request, attempt, isLate ? attempt_failure::timed_out : attempt_failure::not_sent);
 }
 
-void router_core::implementation::settleFailure(const open_request &request, const open_attempt &attempt,
+void router_core::implementation::recordFailure(const open_request &request, const open_attempt &attempt,
                                                 attempt_failure failure)
 {
     const bool isEvidence =
-        isVersionFault(failure) || (failure == attempt_failure::timed_out && isUnlikelyTimeout(request, attempt));
-    recordResult(attempt.version, isEvidence ? std::optional(false) : std::nullopt, stratumOf(request));
+        isVersionFault(failure) || (failure == attempt_failure::timed_out && isTimeoutEvidence(request, attempt));
+    noteResult(attempt.version, isEvidence ? std::optional(false) : std::nullopt, stratumOf(request));
 }
 
-bool router_core::implementation::isUnlikelyTimeout(const open_request &request, const open_attempt &attempt) const
+bool router_core::implementation::isTimeoutEvidence(const open_request &request, const open_attempt &attempt) const
 {
-    // A pool beyond its capacity makes attempts of good versions late. Only a version that has another one to fall back
-    // on is halted for it, and only by attempts that had most of the kind's deadline.
+    // Attempts of good versions also time out where their pool is overloaded. Timeouts therefore count only against a
+    // version with a baseline to fall back on, and only where the attempt had at least half of the kind's deadline.
     const auto kind = m_config->kindByName(request.input.kind);
     const auto version = m_config->versionByName(attempt.version);
     return kind.isValid() && version.isValid() && (*m_config)[version].baseline.isValid()
@@ -189,8 +192,8 @@
 
 std::string router_core::implementation::stratumOf(const open_request &request)
 {
-    // Only what weaker models failed reaches a stronger one, so that its answers there are a population of their own.
-    return request.aboveModel.empty() ? request.input.kind : request.input.kind + "/escalated";
+    // A stronger model receives only requests that weaker models failed, so escalated requests form a separate stratum.
+    return request.escalatedFromModel.empty() ? request.input.kind : request.input.kind + "/escalated";
 }
 
 void router_core::implementation::recordResult(const std::string &version, std::optional<bool> passed,
@@ -206,24 +209,24 @@
     if (!m_config)
         return;
     const auto handle = m_config->versionByName(version);
-    if (!handle.isValid() || !m_evidence.isRejected(*m_config, handle) || !m_halted.insert(version).second)
+    if (!handle.isValid() || !m_evidence.isRejected(*m_config, handle) || !m_haltedVersions.insert(version).second)
         return;
-    ++m_epoch;
+    ++m_planEpoch;
     record("halted", "evidence rejects version " + version);
     m_actions.emplace_back(share_halt{version});
 }
 
-void router_core::implementation::noteSize(const open_request &request, const open_attempt &attempt)
+void router_core::implementation::recordResponseStats(const open_request &request, const open_attempt &attempt)
 {
-    if (m_now > request.deadline) // Longer than the kind's deadline would refuse all later requests of the kind.
+    if (m_now > request.deadline) // A mean beyond the kind's deadline would refuse all later requests of the kind.
         return;
-    const response_stats size{std::chrono::duration<double, std::milli>(m_now - attempt.startedAt).count(),
-                              static_cast<double>(request.answer.completionTokens)};
-    const auto [entry, isNew] = m_answerSizes.try_emplace({request.input.kind, attempt.version}, size);
+    const answer_size stats{std::chrono::duration<double, std::milli>(m_now - attempt.startedAt).count(),
+                            static_cast<double>(request.response.completionTokens)};
+    const auto [entry, isNew] = m_responseStats.try_emplace({request.input.kind, attempt.version}, stats);
     if (isNew)
         return;
-    smooth(entry->second.durationMs, size.durationMs);
-    smooth(entry->second.completionTokens, size.completionTokens);
+    smooth(entry->second.durationMs, stats.durationMs);
+    smooth(entry->second.completionTokens, stats.completionTokens);
 }
 
 bool router_core::implementation::hasOtherUpstream(const open_request &request, version_handle version) const
@@ -237,18 +240,18 @@
     });
 }
 
-std::string_view router_core::implementation::whyNoRetry(const open_request &request, bool ran)
+std::string_view router_core::implementation::retryObstacle(const open_request &request, bool ran)
 {
     if (!request.idempotent && request.mayHaveRun)
         return "not idempotent and may have run";
     if (request.deliveredBytes > 0)
-        return "part of the answer is delivered";
+        return "part of the response is delivered";
     if (request.retries >= (ran ? kRetriesAfterRun : kRetriesNotRun))
         return "retried before";
     if (m_now >= request.deadline)
         return "deadline reached";
     const auto chosen = plan(request);
-    const bool waitsForLease = chosen.reason == reason_code::no_fresh_configuration && isLeaseDue();
+    const bool waitsForLease = chosen.reason == reason_code::no_fresh_configuration && isLeaseExpected();
     if (chosen.reason != reason_code::none && !waitsForLease)
         return nameOf(chosen.reason);
     if (!waitsForLease && !hasOtherUpstream(request, chosen.version))
@@ -260,28 +263,29 @@
 
 void router_core::implementation::retryOrFail(open_request &request, reason_code reason, bool ran)
 {
-    if (request.answered)
+    if (request.finished)
         return drop(request);
-    const auto obstacle = whyNoRetry(request, ran);
+    const auto obstacle = retryObstacle(request, ran);
     if (!obstacle.empty()) {
         record("not_retried", request, std::string(obstacle));
         return fail(request, reason);
     }
     ++request.retries;
-    request.answer = {};
+    request.response = {};
     enqueue(request, "retry after " + std::string(nameOf(reason)));
 }
 
-void router_core::implementation::stopWithdrawn(open_request &request)
+void router_core::implementation::cancelIfWithdrawn(open_request &request)
 {
     const auto isWithdrawn = [&](const std::string &name) {
         const auto version = m_config->versionByName(name);
         return version.isValid() && (*m_config)[version].state == version_state::withdrawn;
     };
-    if (request.held && isWithdrawn(request.held->version))
-        request.held.reset();
-    // What a non-idempotent attempt did can't be undone or repeated; its caller has to learn of it.
-    if (!request.idempotent || !isWithdrawn(request.answer.version))
+    if (request.retainedResponse && isWithdrawn(request.retainedResponse->version))
+        request.retainedResponse.reset();
+    // The effect of a non-idempotent attempt can't be undone, nor the attempt retried; its caller has to get the
+    // result.
+    if (!request.idempotent || !isWithdrawn(request.response.version))
         return;
     if (request.phase != request_phase::running && request.phase != request_phase::rating)
         return;
--- a/src/router_core_dispatch.cpp
+++ b/src/router_core_dispatch.cpp
@@ -1,5 +1,5 @@
 // Decision core, second stage: chooses the version and the upstream of an attempt. Every dispatch, whether first
-// attempt, retry or escalation, passes plan() and so the checks of lease, grant, version state, pin and quarantine.
+// attempt, retry or escalation, goes through plan(), which checks lease, grant, version state, pin and quarantine.
 #include "router_core_state_p.h"
 
 #define XXH_INLINE_ALL
@@ -11,17 +11,17 @@
 namespace
 {
 
-constexpr std::size_t kPrefixBytes = 1024; ///< part of a prompt that decides prefix-cache affinity
-constexpr double kBytesPerToken = 4; ///< rough length of a token, to estimate costs before they are known
-constexpr double kLeastDurationMs = 20; ///< no upstream answers faster than this over a network and a batch
-constexpr double kDefaultDurationMs = 500; ///< of an answer before any of its kind and version was measured
-/// A non-idempotent attempt runs on this long after its caller's deadline, so that a resend finds the stored answer.
-constexpr std::chrono::seconds kRunOnTime{10};
-/// The adapter reports an attempt's time limit itself; the core acts only where that report is lost.
+constexpr std::size_t kPrefixBytes = 1024; ///< leading part of the prompt that is hashed for prefix-cache affinity
+constexpr double kBytesPerToken = 4; ///< average token length assumed for cost estimates
+constexpr double kMinDurationMs = 20; ///< no upstream responds faster, given the network and its batching
+constexpr double kDefaultDurationMs = 500; ///< assumed until a response of the kind and version has been measured
+/// A non-idempotent attempt may run this long past its caller's deadline, so that a resend gets the stored response.
+constexpr std::chrono::seconds kOverrunTime{10};
+/// The adapter reports timeouts of attempts itself; the core ends an attempt only where that report is lost.
 constexpr std::chrono::milliseconds kReportGraceMs{500};
 
-constexpr std::chrono::milliseconds kShortRetryMs{1000}; ///< Retry-After where the cause should pass within seconds
-constexpr std::chrono::milliseconds kLongRetryMs{5000}; ///< Retry-After where capacity has to come back first
+constexpr std::chrono::milliseconds kShortRetryMs{1000}; ///< Retry-After for causes that usually end within seconds
+constexpr std::chrono::milliseconds kLongRetryMs{5000}; ///< Retry-After where capacity has to return first
 
 } // namespace
 
@@ -46,16 +46,16 @@
     return m_config && m_lease.generation == m_config->generation && m_now < m_lease.expiresAt;
 }
 
-bool router_core::implementation::isLeaseDue() const
+bool router_core::implementation::isLeaseExpected() const
 {
-    // A lease for a new generation, or one that lapsed while the process was paused, comes with the next exchange.
+    // A lease for a new generation, or a renewal after the process was paused, arrives with the next exchange.
     return m_noLeaseSince && m_now < *m_noLeaseSince + 2 * m_config->tune.exchangePeriod;
 }
 
 bool router_core::implementation::isOpenToNewSessions(version_handle version) const
 {
     const auto &entry = (*m_config)[version];
-    if (m_halted.contains(entry.name) || m_evidence.isRejected(*m_config, version))
+    if (m_haltedVersions.contains(entry.name) || m_evidence.isRejected(*m_config, version))
         return false;
     if (!m_evidence.hasExposureLeft(*m_config, version, m_now))
         return false;
@@ -64,8 +64,8 @@
     return m_ratingAvailable && m_balancer.isServed((*m_config)[entry.model].service, entry.name, m_now);
 }
 
-dispatch_plan router_core::implementation::candidates(const open_request &request,
-                                                      std::vector<version_handle> &found) const
+dispatch_plan router_core::implementation::collectCandidates(const open_request &request,
+                                                             std::vector<version_handle> &versions) const
 {
     const auto &config = *m_config;
     const auto account = config.accountByName(request.account);
@@ -77,16 +77,16 @@
     };
     const auto &sessionKey = request.input.sessionId.empty() ? request.requestId : request.input.sessionId;
     bool granted = false;
-    bool mayOpen = false;
-    bool above = request.aboveModel.empty();
+    bool mayOpenLater = false;
+    bool isEligible = request.escalatedFromModel.empty();
     for (const auto model : config[kind].cascade) {
         const auto &entry = config[model];
         for (const auto candidate : entry.versions) {
             const auto state = config[candidate].state;
             const bool isGranted = config.isGranted(account, candidate);
             granted = granted || isGranted;
-            mayOpen = mayOpen
-                || (isGranted && !m_halted.contains(config[candidate].name)
+            mayOpenLater = mayOpenLater
+                || (isGranted && !m_haltedVersions.contains(config[candidate].name)
                     && (state == version_state::active || state == version_state::rolling_out));
         }
         version_handle version;
@@ -103,14 +103,14 @@
         } else {
             version = chooseVersion(config, model, account, sessionKey, isOpen);
         }
-        if (above && version.isValid())
-            found.push_back(version);
-        above = above || entry.name == request.aboveModel;
+        if (isEligible && version.isValid())
+            versions.push_back(version);
+        isEligible = isEligible || entry.name == request.escalatedFromModel;
     }
-    if (!found.empty())
+    if (!versions.empty())
         return {};
-    // Versions whose exposure budget is used up are open again once answers are rated.
-    if (mayOpen && !request.pinned)
+    // A version with an exhausted exposure budget gets new sessions again once outstanding responses are rated.
+    if (mayOpenLater && !request.pinned)
         return {.reason = reason_code::over_capacity};
     return {.reason = granted ? reason_code::version_withdrawn : reason_code::not_allowed};
 }
@@ -119,30 +119,31 @@
 {
     const auto &entry = (*m_config)[version];
     const auto &model = (*m_config)[entry.model];
-    const auto *size = sizeOf(request, version);
+    const auto *stats = statsOf(request, version);
     const auto limit = (*m_config)[m_config->kindByName(request.input.kind)].maxTokens;
-    const auto completion = size ? size->completionTokens : limit / 2.0;
+    const auto completion = stats ? stats->completionTokens : limit / 2.0;
     const auto prompt = static_cast<double>(request.input.prompt.size()) / kBytesPerToken;
-    const auto duration = size ? size->durationMs : kDefaultDurationMs;
+    const auto duration = stats ? stats->durationMs : kDefaultDurationMs;
     return {.version = version,
             .expectedCostMicroUnits =
                 (prompt * model.promptMicroUnitsPer1k + completion * model.completionMicroUnitsPer1k) / 1000,
             .expectedLatency = std::chrono::milliseconds{static_cast<std::int64_t>(duration)}};
 }
 
-const response_stats *router_core::implementation::sizeOf(const open_request &request, version_handle version) const
+const answer_size *router_core::implementation::statsOf(const open_request &request, version_handle version) const
 {
-    const auto found = m_answerSizes.find({request.input.kind, (*m_config)[version].name});
-    return found == m_answerSizes.end() ? nullptr : &found->second;
+    const auto found = m_responseStats.find({request.input.kind, (*m_config)[version].name});
+    return found == m_responseStats.end() ? nullptr : &found->second;
 }
 
-bool router_core::implementation::canEndInTime(const open_request &request, version_handle version, instant start) const
+bool router_core::implementation::canFinishInTime(const open_request &request, version_handle version,
+                                                  instant start) const
 {
-    // Half of the mean: measured answers all met their kind's deadline, so that a request with its whole deadline left
-    // always passes, and an attempt that is nearly sure to be cut off is not started.
-    const auto *size = sizeOf(request, version);
+    // Requires half of the mean duration. Only responses within the deadline are measured, so a request with its whole
+    // deadline left always passes, and an attempt that would almost certainly time out is not started.
+    const auto *stats = statsOf(request, version);
     const auto left = std::chrono::duration<double, std::milli>(request.deadline - start).count();
-    return left >= (size ? std::max(kLeastDurationMs, size->durationMs / 2) : kLeastDurationMs);
+    return left >= (stats ? std::max(kMinDurationMs, stats->durationMs / 2) : kMinDurationMs);
 }
 
 dispatch_plan router_core::implementation::plan(const open_request &request) const
@@ -151,11 +152,11 @@
         return {.reason = reason_code::no_fresh_configuration};
     if (m_quarantine.isBlocked(request.fingerprint, m_now))
         return {.reason = reason_code::quarantined};
-    std::vector<version_handle> open;
-    if (auto refusal = candidates(request, open); refusal.reason != reason_code::none)
+    std::vector<version_handle> candidates;
+    if (auto refusal = collectCandidates(request, candidates); refusal.reason != reason_code::none)
         return refusal;
     std::vector<cascade_candidate> served;
-    for (const auto version : open) {
+    for (const auto version : candidates) {
         const auto &entry = (*m_config)[version];
         if (m_balancer.isServed((*m_config)[entry.model].service, entry.name, m_now))
             served.push_back(estimateOf(request, version));
@@ -164,15 +165,15 @@
         return {.reason = reason_code::no_upstream};
     const auto kind = m_config->kindByName(request.input.kind);
     const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline - m_now);
-    // A non-idempotent request can't escalate, so that its only attempt goes to the strongest model.
+    // A non-idempotent request can't escalate, so its only attempt goes to the strongest model.
     const bool mayEscalate = request.idempotent && (*m_config)[kind].rated;
     const auto decision =
-        m_policy.choose(*m_config, kind, served, remaining, mayEscalate && m_ratingAvailable, request.draw);
+        m_policy.choose(*m_config, kind, served, remaining, mayEscalate && m_ratingAvailable, request.randomBits);
     return {.version = served[decision.start].version,
-            .rateFirst = mayEscalate && m_ratingAvailable && decision.start + 1 < served.size(),
-            .why = served.size() == 1 ? "only candidate"
-                : mayEscalate         ? decision.reason
-                                      : "strongest; can't escalate"};
+            .rateBeforeDelivery = mayEscalate && m_ratingAvailable && decision.start + 1 < served.size(),
+            .explanation = served.size() == 1 ? "only candidate"
+                : mayEscalate                 ? decision.reason
+                                              : "strongest; can't escalate"};
 }
 
 void router_core::implementation::enqueue(open_request &request, std::string reason)
@@ -184,50 +185,50 @@
     record("queued", request, std::move(reason));
 }
 
-void router_core::implementation::pump()
+void router_core::implementation::dispatchQueued()
 {
-    // A version without a free slot for a class has none for the rest of the queue either. Planning each request anew
-    // took most of the time where the queue was long.
-    std::set<std::pair<std::string, request_class>> full;
+    // A version without a free slot for a class has none for the rest of the queue either. Planning each queued request
+    // again took most of the time with long queues.
+    std::set<std::pair<std::string, request_class>> fullVersions;
     for (const auto token : m_admission.order()) {
-        auto *request = find(token);
+        auto *request = findRequest(token);
         if (!request || request->phase != request_phase::queued)
             continue;
-        const auto &known = request->waitsFor;
-        if (request->waitsSinceEpoch == m_epoch && full.contains({known, request->priority}))
+        const auto &blockedOn = request->blockedOnVersion;
+        if (request->blockedAtEpoch == m_planEpoch && fullVersions.contains({blockedOn, request->priority}))
             continue;
-        request->waitsFor.clear();
+        request->blockedOnVersion.clear();
         const auto priority = request->priority;
         tryStart(*request);
-        request = find(token);
-        if (request && !request->waitsFor.empty())
-            full.emplace(request->waitsFor, priority);
+        request = findRequest(token);
+        if (request && !request->blockedOnVersion.empty())
+            fullVersions.emplace(request->blockedOnVersion, priority);
     }
 }
 
-void router_core::implementation::refuseLate()
+void router_core::implementation::failUnreachable()
 {
-    struct pool_line {
-        std::int64_t position = 0; ///< requests of the pool that go first
-        std::map<request_class, double> msEach; ///< time for one start, by class
+    struct pool_queue {
+        std::int64_t position = 0; ///< number of queued requests of the pool ahead of this one
+        std::map<request_class, double> msPerStartByClass; ///< estimated time between two starts
     };
-    std::map<std::string, pool_line, std::less<>> lines;
+    std::map<std::string, pool_queue, std::less<>> queues;
     for (const auto token : m_admission.order()) {
-        auto *request = find(token);
+        auto *request = findRequest(token);
         if (!request)
             continue;
-        auto &line = lines[request->pool];
-        const auto position = line.position++;
-        const auto [each, isNew] = line.msEach.try_emplace(request->priority, 0);
+        auto &queue = queues[request->pool];
+        const auto position = queue.position++;
+        const auto [startMs, isNew] = queue.msPerStartByClass.try_emplace(request->priority, 0);
         if (isNew)
-            each->second = msForEachStart(*request);
-        const auto wait = std::chrono::milliseconds{static_cast<std::int64_t>(each->second) * position};
+            startMs->second = msPerStart(*request);
+        const auto wait = std::chrono::milliseconds{static_cast<std::int64_t>(startMs->second) * position};
         if (request->phase == request_phase::queued && m_now + wait >= request->deadline)
-            giveUpQueued(*request, reason_code::deadline_unreachable);
+            failQueued(*request, reason_code::deadline_unreachable);
     }
 }
 
-double router_core::implementation::msForEachStart(const open_request &request) const
+double router_core::implementation::msPerStart(const open_request &request) const
 {
     const auto total = m_admission.estimateQueueWait(request.account, request.priority, request.pool);
     const auto ahead = std::ranges::count_if(m_requests, [&](const auto &item) {
@@ -241,35 +242,36 @@
 {
     const auto chosen = plan(request);
     if (chosen.reason == reason_code::no_fresh_configuration) {
-        if (isLeaseDue())
+        if (isLeaseExpected())
             return;
-        return giveUpQueued(request, chosen.reason);
+        return failQueued(request, chosen.reason);
     }
-    if (chosen.reason == reason_code::over_capacity && !request.held)
+    if (chosen.reason == reason_code::over_capacity && !request.retainedResponse)
         return;
     if (chosen.reason != reason_code::none)
-        return giveUpQueued(request, chosen.reason);
-    if (!canEndInTime(request, chosen.version, m_now))
-        return giveUpQueued(request, reason_code::deadline_unreachable);
+        return failQueued(request, chosen.reason);
+    if (!canFinishInTime(request, chosen.version, m_now))
+        return failQueued(request, reason_code::deadline_unreachable);
     const auto crashes = m_quarantine.crashes(request.fingerprint, m_now);
-    const auto running = m_running.find(request.fingerprint);
-    if (crashes > 0 && running != m_running.end() && crashes + running->second >= quarantine::kCrashLimit)
-        return; // Copies of a request that has crashed an upstream run one at a time, so that the limit holds.
+    const auto running = m_runningByFingerprint.find(request.fingerprint);
+    if (crashes > 0 && running != m_runningByFingerprint.end() && crashes + running->second >= quarantine::kCrashLimit)
+        return; // Limits concurrent copies of a request that has crashed an upstream, so that crashes stay within
+                // kCrashLimit.
     const auto &version = (*m_config)[chosen.version];
     const auto prefix = std::string_view(request.input.prompt).substr(0, kPrefixBytes);
-    const pick_request wanted{.service = (*m_config)[version.model].service,
-                              .version = version.name,
-                              .prefixHash = XXH64(prefix.data(), prefix.size(), 0),
-                              .priority = request.priority,
-                              .exclude = request.avoidUpstream,
-                              .hosts = m_config->hosts.size()};
-    const auto *upstream = m_balancer.pick(wanted, m_config->tune, m_now);
+    const pick_request criteria{.service = (*m_config)[version.model].service,
+                                .version = version.name,
+                                .prefixHash = XXH64(prefix.data(), prefix.size(), 0),
+                                .priority = request.priority,
+                                .exclude = request.avoidUpstream,
+                                .hosts = m_config->hosts.size()};
+    const auto *upstream = m_balancer.pick(criteria, m_config->tune, m_now);
     if (!upstream) {
         if (!request.avoidUpstream.empty() && !hasOtherUpstream(request, chosen.version))
-            return giveUpQueued(request, reason_code::no_upstream);
+            return failQueued(request, reason_code::no_upstream);
         if (request.avoidUpstream.empty()) {
-            request.waitsFor = version.name;
-            request.waitsSinceEpoch = m_epoch;
+            request.blockedOnVersion = version.name;
+            request.blockedAtEpoch = m_planEpoch;
         }
         return;
     }
@@ -280,7 +282,7 @@
     dispatch(request, chosen, *upstream);
 }
 
-void router_core::implementation::giveUpQueued(open_request &request, reason_code reason)
+void router_core::implementation::failQueued(open_request &request, reason_code reason)
 {
     m_admission.remove(request.input.request);
     fail(request, reason);
@@ -318,8 +320,8 @@
     const auto &version = (*m_config)[chosen.version];
     const auto &kind = (*m_config)[m_config->kindByName(request.input.kind)];
     const attempt_token token{++m_lastAttempt};
-    const auto runOn = request.idempotent ? instant{} : instant{kRunOnTime};
-    const auto timeout = std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline + runOn - m_now);
+    const auto overrun = request.idempotent ? instant{} : instant{kOverrunTime};
+    const auto timeout = std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline + overrun - m_now);
     const auto limit = request.input.maxTokens == 0 ? kind.maxTokens : request.input.maxTokens;
     m_admission.remove(request.input.request);
     if (request.attempts++ == 0)
@@ -328,28 +330,28 @@
     m_admission.recordStart(upstream.service, request.priority);
     m_evidence.recordDispatch(version.name);
     m_evidenceChanged = true;
-    ++m_running[request.fingerprint];
+    ++m_runningByFingerprint[request.fingerprint];
     m_attempts[token] = {.request = request.input.request,
                          .upstream = upstream.name,
                          .service = upstream.service,
                          .version = version.name,
                          .startedAt = m_now,
                          .stopAt = m_now + timeout + kReportGraceMs,
-                         .rateFirst = chosen.rateFirst};
+                         .rateBeforeDelivery = chosen.rateBeforeDelivery};
     request.attempt = token;
     request.phase = request_phase::running;
     const auto &model = (*m_config)[version.model];
-    request.answer = {.model = model.name,
-                      .version = version.name,
-                      .promptMicroUnitsPer1k = model.promptMicroUnitsPer1k,
-                      .completionMicroUnitsPer1k = model.completionMicroUnitsPer1k};
-    record("dispatched", request, std::string(chosen.why));
+    request.response = {.model = model.name,
+                        .version = version.name,
+                        .promptMicroUnitsPer1k = model.promptMicroUnitsPer1k,
+                        .completionMicroUnitsPer1k = model.completionMicroUnitsPer1k};
+    record("dispatched", request, std::string(chosen.explanation));
     m_actions.emplace_back(start_attempt{.attempt = token,
                                          .request = request.input.request,
                                          .upstream = upstream.name,
                                          .address = upstream.address,
                                          .port = upstream.port,
-                                         .model = request.answer.model,
+                                         .model = request.response.model,
                                          .version = version.name,
                                          .prompt = request.input.prompt,
                                          .requestId = request.requestId,
--- a/src/router_core_intake.cpp
+++ b/src/router_core_intake.cpp
@@ -1,4 +1,4 @@
-// Decision core, first stage: checks a caller's request and admits it to the queue or refuses it at once.
+// Decision core, first stage: checks a caller's request and either queues or refuses it.
 #include "router_core_state_p.h"
 
 #include <charconv>
@@ -9,13 +9,16 @@
 namespace
 {
 
-/// Wall clocks of hosts and callers may differ by this much. An id from the future would outlive its ledger entry.
+/// Accepted difference between the wall clocks of hosts and callers. A request id dated in the future would still be
+/// valid after its ledger entry has expired.
 constexpr std::chrono::seconds kClockSkew{60};
-/// Of the estimated wait, to admit. At 3 times a pool's capacity 50 in 100 refusals came at once with 1.5, 62 with 2
-/// and 78 with 3, and as many drafts were served: the queue stays long enough.
+/// Multiplies the estimated wait at admission. With 3 times a pool's capacity offered, 50 of 100 refusals were
+/// immediate at a margin of 1.5, 62 at 2 and 78 at 3. The number of drafts served did not change, as the queue stays
+/// long enough.
 constexpr double kWaitMargin = 3;
-constexpr std::chrono::milliseconds kLeastRetryMs{1000}; ///< least Retry-After of a request that would wait too long
-constexpr std::size_t kOpenLimit = 4096; ///< open requests of a host; bounds its memory
+constexpr std::chrono::milliseconds kMinRetryMs{
+    1000}; ///< lower bound of Retry-After for a request that would wait too long
+constexpr std::size_t kOpenRequestLimit = 4096; ///< open requests of one host; bounds its memory
 
 struct parsed_id {
     std::int64_t unixSeconds = 0;
@@ -24,10 +27,10 @@
 
 parsed_id parseRequestId(std::string_view text)
 {
-    constexpr std::size_t kLongestId = 128;
+    constexpr std::size_t kMaxIdLength = 128;
     parsed_id parsed;
     const auto dash = text.find('-');
-    if (text.size() > kLongestId || dash == std::string_view::npos || dash == 0 || dash + 1 == text.size())
+    if (text.size() > kMaxIdLength || dash == std::string_view::npos || dash == 0 || dash + 1 == text.size())
         return parsed;
     const auto [end, status] = std::from_chars(text.data(), text.data() + dash, parsed.unixSeconds);
     parsed.valid = status == std::errc{} && end == text.data() + dash && parsed.unixSeconds >= 0;
@@ -46,37 +49,37 @@
 
 const finish_request kAccepted{.outcome = outcome_kind::complete};
 
-bool isAccepted(const finish_request &answer)
+bool isAccepted(const finish_request &response)
 {
-    return answer.outcome == outcome_kind::complete;
+    return response.outcome == outcome_kind::complete;
 }
 
 } // namespace
 
 void router_core::implementation::on(const caller_request &input)
 {
-    if (find(input.request))
+    if (findRequest(input.request))
         return;
     auto request = std::make_unique<open_request>();
     request->input = input;
     request->requestId = input.requestId;
     request->arrivedAt = m_now;
-    request->draw = m_random();
-    auto answer = checkIdentity(*request);
-    if (isAccepted(answer))
-        answer = checkRequestId(*request);
-    if (isAccepted(answer))
-        answer = checkSession(*request);
-    if (isAccepted(answer))
-        answer = checkAdmission(*request);
-    if (!isAccepted(answer))
-        return refuse(*request, std::move(answer));
+    request->randomBits = m_random();
+    auto response = checkIdentity(*request);
+    if (isAccepted(response))
+        response = checkRequestId(*request);
+    if (isAccepted(response))
+        response = checkSession(*request);
+    if (isAccepted(response))
+        response = checkAdmission(*request);
+    if (!isAccepted(response))
+        return refuse(*request, std::move(response));
     auto &admitted = *m_requests.emplace(input.request, std::move(request)).first->second;
-    m_keys.emplace(admitted.account, admitted.requestId);
+    m_openRequestIds.emplace(admitted.account, admitted.requestId);
     setTimer(admitted, admitted.deadline);
     record("admitted", admitted, "within the limits of the account");
     enqueue(admitted, "first attempt");
-    pump();
+    dispatchQueued();
 }
 
 finish_request router_core::implementation::checkIdentity(open_request &request) const
@@ -139,46 +142,46 @@
     return kAccepted;
 }
 
-/// A host without a lease may be cut off from the ledger as well, so it can't know whether another host runs this id.
-finish_request router_core::implementation::withoutLease(const open_request &request) const
+/// A host without a lease may be disconnected from the ledger too, so it can't tell whether another host runs this id.
+finish_request router_core::implementation::refusalWithoutLease(const open_request &request) const
 {
-    auto answer = notRun(reason_code::no_fresh_configuration, retryAfterOf(reason_code::no_fresh_configuration));
+    auto response = notRun(reason_code::no_fresh_configuration, retryAfterOf(reason_code::no_fresh_configuration));
     if (!request.idempotent)
-        answer.outcome = outcome_kind::may_have_run;
-    return answer;
+        response.outcome = outcome_kind::may_have_run;
+    return response;
 }
 
 finish_request router_core::implementation::checkAdmission(open_request &request)
 {
-    if (m_keys.contains({request.account, request.requestId})) {
-        // The first one may be running, so that "not run" would not hold for this request id.
+    if (m_openRequestIds.contains({request.account, request.requestId})) {
+        // The first request with this id may be running, so "not run" would be wrong.
         return {.outcome = outcome_kind::may_have_run, .reason = reason_code::duplicate_in_progress};
     }
     if (!hasLease())
-        return withoutLease(request);
+        return refusalWithoutLease(request);
     const auto chosen = plan(request);
     if (chosen.reason == reason_code::quarantined && !request.idempotent) {
-        // An earlier request with the same id may be what crashed the upstreams.
+        // An earlier request with the same id may have crashed the upstreams, and thus have run.
         return {.outcome = outcome_kind::may_have_run, .reason = reason_code::quarantined};
     }
     if (chosen.reason != reason_code::none)
         return notRun(chosen.reason, retryAfterOf(chosen.reason));
-    if (m_requests.size() >= kOpenLimit)
+    if (m_requests.size() >= kOpenRequestLimit)
         return notRun(reason_code::over_capacity, retryAfterOf(reason_code::over_capacity));
     request.pool = (*m_config)[(*m_config)[chosen.version].model].service;
-    const auto wait = m_admission.estimateQueueWait(request.account, request.priority, request.pool);
-    if (!canEndInTime(request, chosen.version, m_now + std::chrono::duration_cast<instant>(kWaitMargin * wait)))
-        return notRun(reason_code::deadline_unreachable, m_admission.addJitter(std::max(wait, kLeastRetryMs)));
-    const auto verdict = m_admission.admit(*m_config, m_config->accountByName(request.account), m_now);
-    return verdict.reason == reason_code::none ? kAccepted : notRun(verdict.reason, verdict.retryAfter);
+    const auto wait = m_admission.startEstimate(request.account, request.priority, request.pool);
+    if (!canFinishInTime(request, chosen.version, m_now + std::chrono::duration_cast<instant>(kWaitMargin * wait)))
+        return notRun(reason_code::deadline_unreachable, m_admission.spread(std::max(wait, kMinRetryMs)));
+    const auto decision = m_admission.admit(*m_config, m_config->accountByName(request.account), m_now);
+    return decision.reason == reason_code::none ? kAccepted : notRun(decision.reason, decision.retryAfter);
 }
 
-void router_core::implementation::refuse(const open_request &request, finish_request answer)
+void router_core::implementation::refuse(const open_request &request, finish_request response)
 {
-    answer.request = request.input.request;
-    answer.requestId = request.requestId;
-    record("refused", request, std::string(nameOf(answer.outcome)) + ": " + std::string(nameOf(answer.reason)));
-    m_actions.emplace_back(std::move(answer));
+    response.request = request.input.request;
+    response.requestId = request.requestId;
+    record("refused", request, std::string(nameOf(response.outcome)) + ": " + std::string(nameOf(response.reason)));
+    m_actions.emplace_back(std::move(response));
 }
 
 } // namespace foxtaildyke
--- a/src/router_core_state_p.h
+++ b/src/router_core_state_p.h
@@ -1,4 +1,4 @@
-// State of the decision core, shared by the router_core*.cpp files. Each file implements one stage of a request.
+// State of the decision core, used by all router_core*.cpp files. Each of them implements one stage of a request.
 #pragma once
 
 #include "router_core_p.h"
@@ -9,17 +9,17 @@
 namespace foxtaildyke
 {
 
-/// @returns what a refused caller is told to wait; 0 where waiting does not help.
+/// @returns the Retry-After value for a refused caller; 0 where waiting does not help.
 [[nodiscard]] std::chrono::milliseconds retryAfterOf(reason_code reason);
 
-/// Stage of a request that holds its admission.
+/// Stage of an admitted request.
 enum class request_phase : std::uint8_t {
-    queued, ///< waits for a slot
-    pinning, ///< waits for the ledger's answer to a pin
-    claiming, ///< waits for the ledger's answer to a claim
+    queued, ///< waits for a free slot
+    pinning, ///< waits for the ledger's response to a pin
+    claiming, ///< waits for the ledger's response to a claim
     running, ///< an attempt is in flight
-    rating, ///< waits for the rating of a buffered answer
-    billing, ///< waits for the ledger's answer to a bill
+    rating, ///< waits for the rating of a buffered response
+    billing, ///< waits for the ledger's response to a bill
     count
 };
 
@@ -28,11 +28,11 @@
     static constexpr std::array kNames{"queued", "pinning", "claiming", "running", "rating", "billing"};
 };
 
-/// Answer of one attempt.
-struct attempt_response {
+/// Response of one attempt.
+struct attempt_answer {
     std::string model;
     std::string version;
-    std::uint32_t promptMicroUnitsPer1k = 0; ///< prices at the dispatch
+    std::uint32_t promptMicroUnitsPer1k = 0; ///< prices at dispatch time
     std::uint32_t completionMicroUnitsPer1k = 0;
     std::string text;
     std::uint32_t promptTokens = 0;
@@ -41,43 +41,44 @@
 };
 
 /// A request in flight.
-/// @remarks Entries of the configuration are kept by name, because handles change with the generation.
+/// @remarks Refers to configuration entries by name, because handles change with the generation.
 struct open_request {
     caller_request input;
     std::string requestId;
     std::string account;
     request_class priority = request_class::standard;
-    bool idempotent = true; ///< as at admission; a later change of the kind must not make a claimed request repeatable
+    bool idempotent =
+        true; ///< fixed at admission; a later change of the kind must not allow retries of a claimed request
     std::uint64_t fingerprint = 0;
-    std::uint64_t draw = 0; ///< random bits for the policy, the same for each decision on this request
-    std::string pool; ///< service of the first version that was planned
+    std::uint64_t randomBits = 0; ///< input to the policy; the same for each decision on this request
+    std::string pool; ///< service of the version planned at admission
     instant arrivedAt{};
     instant deadline{};
     request_phase phase = request_phase::queued;
 
-    bool pinned = false; ///< pins are final: from a token or from the ledger
+    bool pinned = false; ///< pins come from a token or the ledger and no longer change
     std::vector<std::string> pins; ///< version names
     std::string sessionToken;
 
-    bool claimed = false; ///< the ledger holds a claim of this request by this host
-    bool mayHaveRun = false; ///< an attempt ended that an upstream may have run; never reset
-    bool answered = false; ///< finish_request was given; the attempt runs on to its bill
-    std::optional<attempt_token> attempt; ///< set exactly while phase is running
-    attempt_token lastAttempt{}; ///< the one whose answer is rated or billed
-    std::uint32_t attempts = 0; ///< all dispatches
-    std::uint32_t retries = 0; ///< failed attempts that were repeated, since the last escalation
-    instant timerAt{}; ///< its entry in m_deadlines
+    bool claimed = false; ///< the ledger contains a claim of this request by this host
+    bool mayHaveRun = false; ///< an ended attempt may have run on an upstream; never reset
+    bool finished = false; ///< finish_request was emitted; the attempt continues until it is billed
+    std::optional<attempt_token> attempt; ///< set if and only if phase is running
+    attempt_token lastAttempt{}; ///< the attempt whose response is rated or billed
+    std::uint32_t attempts = 0; ///< number of dispatches
+    std::uint32_t retries = 0; ///< number of retries since the last escalation
+    instant timerAt{}; ///< time of its entry in m_timers
     bool callerGone = false;
-    std::string avoidUpstream; ///< upstream of the failed attempt before
+    std::string avoidUpstream; ///< upstream of the previous, failed attempt
 
-    std::string waitsFor; ///< version that had no free slot at the last try, or empty
-    std::uint64_t waitsSinceEpoch = 0; ///< m_epoch of that try
+    std::string blockedOnVersion; ///< version without a free slot at the last dispatch pass; may be empty
+    std::uint64_t blockedAtEpoch = 0; ///< m_planEpoch at that pass
 
-    attempt_response answer; ///< of the attempt in flight or just ended
-    std::size_t deliveredBytes = 0; ///< part of answer.text that send_chunk has delivered
-    std::optional<attempt_response> held; ///< best answer below the target, while a stronger model runs
-    std::string aboveModel; ///< escalated: only models after this one in the cascade are candidates
-    std::uint64_t costMicroUnits = 0; ///< of all attempts with a token count
+    attempt_answer response; ///< of the attempt in flight or just ended
+    std::size_t deliveredBytes = 0; ///< number of bytes of response.text delivered by send_chunk
+    std::optional<attempt_answer> retainedResponse; ///< best response below the target so far, during an escalation
+    std::string escalatedFromModel; ///< if set, only models after this one in the cascade are candidates
+    std::uint64_t costMicroUnits = 0; ///< sum over all attempts that reported a token count
 };
 
 /// An attempt in flight.
@@ -87,31 +88,31 @@
     std::string service;
     std::string version;
     instant startedAt{};
-    instant stopAt{}; ///< cancelled at this time where the adapter reports nothing
-    bool rateFirst = false; ///< the answer is rated before it is delivered
-    bool sawChunk = false;
+    instant stopAt{}; ///< the core cancels the attempt at this time if the adapter has reported nothing
+    bool rateBeforeDelivery = false; ///< the response is buffered and rated before its delivery
+    bool receivedChunk = false;
 };
 
-/// A rating that was asked for.
+/// A pending call to the rating service.
 struct open_rating {
     request_token request{};
     std::string kind;
-    std::string stratum; ///< of the evidence
+    std::string stratum; ///< stratum of the evidence that the rating is counted in
     std::string version;
     std::uint32_t targetPermille = 0;
-    instant givenUpAt{};
+    instant timesOutAt{};
 };
 
-/// What a dispatch would do, or why it may not be done.
+/// Version chosen for a dispatch, or the reason why no dispatch is allowed.
 struct dispatch_plan {
     reason_code reason = reason_code::none; ///< none: the plan is valid
     version_handle version;
-    bool rateFirst = false;
-    std::string_view why; ///< for the time line
+    bool rateBeforeDelivery = false;
+    std::string_view explanation; ///< reason of the choice, for the event log
 };
 
-/// Smoothed measures of whole answers.
-struct response_stats {
+/// Moving averages over complete responses.
+struct answer_size {
     double durationMs = 0;
     double completionTokens = 0;
 };
@@ -142,27 +143,28 @@
     [[nodiscard]] finish_request checkIdentity(open_request &request) const;
     [[nodiscard]] finish_request checkRequestId(open_request &request);
     [[nodiscard]] finish_request checkSession(open_request &request) const;
-    [[nodiscard]] finish_request withoutLease(const open_request &request) const;
+    [[nodiscard]] finish_request refusalWithoutLease(const open_request &request) const;
     [[nodiscard]] finish_request checkAdmission(open_request &request);
-    void refuse(const open_request &request, finish_request answer);
+    void refuse(const open_request &request, finish_request response);
 
     // Dispatch: router_core_dispatch.cpp.
     [[nodiscard]] bool hasLease() const;
-    /// @returns the smoothed measures of earlier answers, or nothing.
-    [[nodiscard]] const response_stats *sizeOf(const open_request &request, version_handle version) const;
-    [[nodiscard]] bool canEndInTime(const open_request &request, version_handle version, instant start) const;
-    [[nodiscard]] bool isLeaseDue() const;
-    void noteLease();
+    /// @returns averages over earlier responses of the kind and version, or null.
+    [[nodiscard]] const answer_size *statsOf(const open_request &request, version_handle version) const;
+    [[nodiscard]] bool canFinishInTime(const open_request &request, version_handle version, instant start) const;
+    [[nodiscard]] bool isLeaseExpected() const;
+    void recordLeaseState();
     [[nodiscard]] bool isOpenToNewSessions(version_handle version) const;
     [[nodiscard]] dispatch_plan plan(const open_request &request) const;
-    [[nodiscard]] dispatch_plan candidates(const open_request &request, std::vector<version_handle> &found) const;
+    [[nodiscard]] dispatch_plan collectCandidates(const open_request &request,
+                                                  std::vector<version_handle> &found) const;
     [[nodiscard]] cascade_candidate estimateOf(const open_request &request, version_handle version) const;
-    void pump();
+    void dispatchQueued();
     void tryStart(open_request &request);
-    /// Refuses queued requests that can't start before their deadline.
-    void refuseLate();
-    [[nodiscard]] double msForEachStart(const open_request &request) const;
-    void giveUpQueued(open_request &request, reason_code reason);
+    /// Fails queued requests that can't start before their deadline.
+    void failUnreachable();
+    [[nodiscard]] double msPerStart(const open_request &request) const;
+    void failQueued(open_request &request, reason_code reason);
     void startPin(open_request &request);
     void startClaim(open_request &request);
     void dispatch(open_request &request, const dispatch_plan &chosen, const upstream_info &upstream);
@@ -173,43 +175,43 @@
     [[nodiscard]] bool hasOtherUpstream(const open_request &request, version_handle version) const;
     void endAttempt(open_request &request, std::optional<attempt_failure> failure);
     void cancelAttempt(open_request &request, std::string reason);
-    /// @param ran an upstream may have run the failed attempt.
+    /// @param ran whether an upstream may have run the failed attempt.
     void retryOrFail(open_request &request, reason_code reason, bool ran);
-    [[nodiscard]] std::string_view whyNoRetry(const open_request &request, bool ran);
-    void recordResult(const std::string &version, std::optional<bool> passed, const std::string &stratum = {});
-    [[nodiscard]] bool isUnlikelyTimeout(const open_request &request, const open_attempt &attempt) const;
+    [[nodiscard]] std::string_view retryObstacle(const open_request &request, bool ran);
+    void noteResult(const std::string &version, std::optional<bool> passed, const std::string &stratum = {});
+    [[nodiscard]] bool isTimeoutEvidence(const open_request &request, const open_attempt &attempt) const;
     [[nodiscard]] static std::string stratumOf(const open_request &request);
     void checkEvidence(const std::string &version);
-    void settleFailure(const open_request &request, const open_attempt &attempt, attempt_failure failure);
-    void noteSize(const open_request &request, const open_attempt &attempt);
-    void stopWithdrawn(open_request &request);
-
-    // Answers: router_core_completion.cpp.
-    void onPinReply(open_request &request, const ledger_response &reply);
-    void onClaimReply(open_request &request, const ledger_response &reply);
-    void onBillReply(open_request &request, const ledger_response &reply);
-    void askRating(const open_request &request);
+    void recordFailure(const open_request &request, const open_attempt &attempt, attempt_failure failure);
+    void recordResponseStats(const open_request &request, const open_attempt &attempt);
+    void cancelIfWithdrawn(open_request &request);
+
+    // Completion: router_core_answers.cpp.
+    void onPinResponse(open_request &request, const ledger_reply &response);
+    void onClaimResponse(open_request &request, const ledger_reply &response);
+    void onBillResponse(open_request &request, const ledger_reply &response);
+    void requestRating(const open_request &request);
     void onRated(open_request &request, std::optional<std::uint32_t> score);
     void escalate(open_request &request);
     void startBill(open_request &request, std::string reason);
     void fail(open_request &request, reason_code reason);
-    void finish(open_request &request, finish_request answer);
+    void finish(open_request &request, finish_request response);
     void drop(open_request &request);
     void setTimer(open_request &request, instant time);
     void onDeadline(open_request &request);
     void expireRatings();
 
-    // Time line.
+    // Event log.
     void record(std::string type, const open_request &request, std::string reason);
     void record(std::string type, std::string reason);
 
-    [[nodiscard]] open_request *find(request_token request);
+    [[nodiscard]] open_request *findRequest(request_token request);
 
 private:
     friend class router_core;
 
     std::string m_hostName;
-    std::mt19937_64 m_random; ///< of generated request ids
+    std::mt19937_64 m_random; ///< generates request ids and the random bits of requests
     instant m_now{}; ///< time of the input being handled
     fleet_ptr m_config; ///< null until the first configuration
     lease_changed m_lease;
@@ -217,9 +219,9 @@
     bool m_draining = false;
     bool m_ratingAvailable = true;
     bool m_evidenceChanged = false;
-    std::uint64_t m_epoch = 0; ///< grows whenever the plan of a queued request may change
-    instant m_epochAt{}; ///< last growth by time
-    instant m_tickedAt{};
+    std::uint64_t m_planEpoch = 0; ///< incremented whenever the plan of a queued request may change
+    instant m_replannedAt{}; ///< time of the last increment by the timer
+    instant m_lastTickAt{};
     std::uint64_t m_lastAttempt = 0;
 
     admission m_admission;
@@ -228,17 +230,21 @@
     evidence_table m_evidence;
     quarantine m_quarantine;
     std::vector<upstream_info> m_upstreams;
-    std::set<std::string, std::less<>> m_halted; ///< versions that evidence has halted, here or on another host
-    std::map<std::pair<std::string, std::string>, response_stats> m_answerSizes; ///< by names of kind and version
+    std::set<std::string, std::less<>> m_haltedVersions; ///< versions halted by evidence, on this or another host
+    std::map<std::pair<std::string, std::string>, answer_size> m_responseStats; ///< key: names of kind and version
 
-    /// Invariant: holds a request from its admission until its finish_request and, where an attempt runs on, its bill.
+    /// Invariant: contains a request from its admission until its finish_request and, if an attempt continues, its
+    /// bill.
     std::unordered_map<request_token, std::unique_ptr<open_request>> m_requests;
-    std::unordered_map<attempt_token, open_attempt> m_attempts; ///< invariant: each belongs to one running request
+    std::unordered_map<attempt_token, open_attempt>
+        m_attempts; ///< invariant: each entry belongs to one running request
     std::map<attempt_token, open_rating> m_ratings;
-    std::set<std::pair<instant, request_token>> m_deadlines; ///< timers of requests; see open_request::timerAt
-    std::set<std::pair<std::string, std::string>> m_keys; ///< (account, request id) in flight
-    std::unordered_map<std::uint64_t, std::uint32_t> m_running; ///< attempts in flight by fingerprint
-    /// Claims that this host wrote and certainly never sent; a resend through this host may still run.
+    std::set<std::pair<instant, request_token>> m_timers; ///< one timer for each request; see open_request::timerAt
+    std::set<std::pair<std::string, std::string>>
+        m_openRequestIds; ///< account and request id of the requests in flight
+    std::unordered_map<std::uint64_t, std::uint32_t> m_runningByFingerprint; ///< number of attempts in flight
+    /// Claims written by this host whose attempt was never sent (account, request id). A resend through this host may
+    /// run.
     std::deque<std::pair<std::string, std::string>> m_unsentClaims;
 
     std::vector<core_action> m_actions;
