--- a/tests/core_simulation_p.h
+++ b/tests/core_simulation_p.h
@@ -1,5 +1,5 @@
-// Virtual-time driver of the decision core for tests: a queue of inputs, scripted fakes at the ports (upstreams,
-// ledger, rating service), and a transcript of all inputs, actions and events.
+// Virtual-time simulation of the decision core for tests: a queue of inputs, scripted fakes of the upstreams, the
+// ledger and the rating service, and a transcript of all inputs, actions and events.
 #pragma once
 
 #include "router_core_p.h"
@@ -13,17 +13,17 @@
 
 using std::chrono::milliseconds;
 
-/// What a fake upstream does with one attempt.
+/// Behavior of a fake upstream for one attempt.
 struct attempt_script {
     std::vector<std::string> chunks{"answer"};
-    std::optional<attempt_failure> failure; ///< reported after the chunks instead of the end
-    milliseconds first{40}; ///< until the first chunk, or until the failure where there is none
-    milliseconds gap{10}; ///< between chunks
-    bool silent = false; ///< the end or failure is never reported
-    bool ignoresCancel = false; ///< its events still arrive after a cancel
+    std::optional<attempt_failure> failure; ///< reported after the chunks instead of completion
+    milliseconds first{40}; ///< delay of the first chunk, or of the failure if there are no chunks
+    milliseconds gap{10}; ///< interval between chunks
+    bool silent = false; ///< neither completion nor failure is reported
+    bool ignoresCancel = false; ///< events still arrive after the attempt is cancelled
 };
 
-/// Fake ledger: the first record of a type counts for each key, as in the real one.
+/// Fake ledger. As in the real one, the first record of a type for a key is valid.
 struct fake_ledger {
     struct entry {
         bool claimed = false;
@@ -45,25 +45,25 @@
 public:
     core_simulation(fleet config, const std::vector<upstream_info> &upstreams, std::uint64_t seed = 1);
 
-    /// Scripts of the ports. The defaults succeed.
+    /// Scripted behavior of the ports. By default all calls succeed.
     std::function<attempt_script(const start_attempt &)> upstream;
     std::function<std::optional<std::uint32_t>(std::string_view version)> rating;
-    std::function<void(const core_action &)> observe; ///< sees each action before the fakes do
-    std::function<void(const core_input &)> observeInput; ///< sees each input before the core does
-    std::function<int(const core_input &)> copies; ///< how often a reply arrives: 0 is lost, 2 is doubled
+    std::function<void(const core_action &)> observe; ///< called with each action before the fakes handle it
+    std::function<void(const core_input &)> observeInput; ///< called with each input before the core handles it
+    std::function<int(const core_input &)> copies; ///< number of times a response arrives: 0 if lost, 2 if duplicated
     milliseconds ledgerDelay{2};
     fake_ledger ledger;
 
-    /// Puts an input into the queue.
+    /// Schedules an input.
     void at(milliseconds time, core_input input);
-    /// Runs a step of the script, for example a change of a fake.
+    /// Schedules a script step, for example a change to a fake.
     void call(milliseconds time, std::string title, std::function<void()> step);
-    /// Publishes a changed configuration with the next generation, and the lease for it.
+    /// Publishes a changed configuration as the next generation, with a lease for it.
     void configure(milliseconds time, std::function<void(fleet &)> change);
     /// Submits a request at a time. @returns its token.
     request_token submit(milliseconds time, std::string kind, const std::function<void(caller_request &)> &change = {});
 
-    /// Handles everything up to a time, timers included.
+    /// Processes all inputs and timers up to a time.
     void run(milliseconds until);
 
     [[nodiscard]] std::string transcript() const { return m_transcript.str(); }
@@ -76,7 +76,7 @@
 
 private:
     struct step {
-        std::string title; ///< of a script step
+        std::string title; ///< title of a script step
         std::function<void()> call;
         core_input input;
     };
@@ -84,13 +84,13 @@
     void feed(const core_input &input, bool isTimer);
     void perform(const core_action &action);
     void perform(const start_attempt &action);
-    void reply(milliseconds delay, const core_input &input);
+    void respond(milliseconds delay, const core_input &input);
     void line(std::string_view mark, const std::string &text);
 
     fleet m_config;
     router_core m_core;
     instant m_now{};
-    std::multimap<instant, step> m_queue; ///< equal times keep the order of insertion
+    std::multimap<instant, step> m_queue; ///< entries with equal times keep their insertion order
     std::set<attempt_token> m_cancelled;
     std::map<attempt_token, std::string> m_versions;
     std::map<request_token, std::vector<finish_request>> m_responses;
@@ -98,13 +98,13 @@
     std::ostringstream m_transcript;
 };
 
-/// Configurations of the two deployments in section 1.3 of docs/design.md, and their host lists.
+/// Configurations and host lists of the two deployments in section 1.3 of docs/design.md.
 [[nodiscard]] fleet linShou();
 [[nodiscard]] fleet sollecitiPadani();
 [[nodiscard]] std::vector<upstream_info> linShouUpstreams();
 [[nodiscard]] std::vector<upstream_info> sollecitiPadaniUpstreams();
 
-/// One line of the transcript for an input or action; empty for those that are not shown.
+/// @returns the transcript line of an input or action, or an empty string if it is not shown.
 [[nodiscard]] std::string describe(const core_input &input);
 [[nodiscard]] std::string describe(const core_action &action);
 
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -1,6 +1,6 @@
-// Property tests of the decision core: random requests, failures, withdrawals, lease losses, doubled and lost replies,
-// checked against rules of section 1.1 of docs/design.md. Seeds are fixed below; RC_PARAMS="seed=N max_success=N" runs
-// others.
+// Property tests of the decision core: random requests, failures, withdrawals, lease losses, duplicate and lost
+// responses, checked against the rules in section 1.1 of docs/design.md. The seed is fixed below; set
+// RC_PARAMS="seed=N max_success=N" to run others.
 #include "core_simulation_p.h"
 
 #include <cstdlib>
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// Watches all actions of a run and notes every broken rule.
+/// Observes all inputs and actions of a run and records every violation of a rule.
 class rule_checker
 {
 public:
@@ -23,34 +23,34 @@
         : m_simulation(simulation)
     {
         simulation.observe = [this](const core_action &action) {
-            see(action);
+            check(action);
         };
         simulation.observeInput = [this](const core_input &input) {
-            noteInput(input);
+            recordInput(input);
         };
     }
 
-    void recordRequest(const caller_request &request) { m_requests[request.request] = request; }
-    /// Checks what can only be told at the end.
+    void noteRequest(const caller_request &request) { m_requests[request.request] = request; }
+    /// Checks the rules that need the complete run.
     void finish();
-    [[nodiscard]] const std::vector<std::string> &broken() const { return m_broken; }
+    [[nodiscard]] const std::vector<std::string> &violations() const { return m_violations; }
 
 private:
     struct attempt_entry {
         request_token request{};
         std::string upstream;
     };
-    void noteInput(const core_input &input);
-    void noteRan(attempt_token attempt);
+    void recordInput(const core_input &input);
+    void recordExecution(attempt_token attempt);
     void recordEnd(attempt_token attempt);
     void recordFailure(const attempt_failed &failed);
     [[nodiscard]] std::string fingerprint(request_token request)
     {
         return m_requests[request].kind + m_requests[request].prompt;
     }
-    void see(const core_action &action);
-    void see(const start_attempt &action);
-    void see(const finish_request &action);
+    void check(const core_action &action);
+    void check(const start_attempt &action);
+    void check(const finish_request &action);
     void expect(bool holds, const std::string &rule, request_token request);
     [[nodiscard]] bool wasSent(attempt_token attempt) const;
     [[nodiscard]] int sentAttempts(request_token request) const;
@@ -60,52 +60,53 @@
     generation_number m_generation = 0;
     std::map<request_token, caller_request> m_requests;
     std::map<attempt_token, attempt_entry> m_attempts;
-    std::map<attempt_token, attempt_failure> m_failures; ///< as reported; absent while in flight and after the end
-    std::set<attempt_token> m_open; ///< in flight
-    std::map<std::string, std::uint32_t> m_crashes; ///< connections lost, by fingerprint
-    std::set<attempt_token> m_ran; ///< attempts with text or an end
+    std::map<attempt_token, attempt_failure>
+        m_failures; ///< reported failures; no entry for attempts in flight or completed
+    std::set<attempt_token> m_inFlight; ///< in flight
+    std::map<std::string, std::uint32_t> m_crashes; ///< number of lost connections, by fingerprint
+    std::set<attempt_token> m_executed; ///< attempts that sent text or completed
     std::map<request_token, int> m_finishes;
     std::map<request_token, int> m_bills;
-    std::vector<std::string> m_broken;
+    std::vector<std::string> m_violations;
 };
 
 void rule_checker::expect(bool holds, const std::string &rule, request_token request)
 {
     if (!holds)
-        m_broken.push_back(rule + ", request " + std::to_string(static_cast<std::uint64_t>(request)));
+        m_violations.push_back(rule + ", request " + std::to_string(static_cast<std::uint64_t>(request)));
 }
 
-void rule_checker::noteInput(const core_input &input)
+void rule_checker::recordInput(const core_input &input)
 {
     if (const auto *lease = std::get_if<lease_changed>(&input))
         m_lease = *lease;
     else if (const auto *config = std::get_if<config_changed>(&input))
         m_generation = config->config->generation;
     else if (const auto *chunk = std::get_if<attempt_chunk>(&input))
-        noteRan(chunk->attempt);
+        recordExecution(chunk->attempt);
     else if (const auto *done = std::get_if<attempt_done>(&input))
         recordEnd(done->attempt);
     else if (const auto *failed = std::get_if<attempt_failed>(&input))
         recordFailure(*failed);
 }
 
-void rule_checker::noteRan(attempt_token attempt)
+void rule_checker::recordExecution(attempt_token attempt)
 {
-    if (m_attempts.contains(attempt)) // A foreign event may name an attempt that starts later.
-        m_ran.insert(attempt);
+    if (m_attempts.contains(attempt)) // Injected events may refer to an attempt that starts later.
+        m_executed.insert(attempt);
 }
 
 void rule_checker::recordEnd(attempt_token attempt)
 {
-    noteRan(attempt);
-    m_open.erase(attempt);
+    recordExecution(attempt);
+    m_inFlight.erase(attempt);
 }
 
 void rule_checker::recordFailure(const attempt_failed &failed)
 {
-    if (!m_ran.contains(failed.attempt))
+    if (!m_executed.contains(failed.attempt))
         m_failures.try_emplace(failed.attempt, failed.failure);
-    if (m_open.erase(failed.attempt) > 0 && failed.failure == attempt_failure::connection_lost)
+    if (m_inFlight.erase(failed.attempt) > 0 && failed.failure == attempt_failure::connection_lost)
         ++m_crashes[fingerprint(m_attempts[failed.attempt].request)];
 }
 
@@ -122,19 +123,19 @@
         m_attempts, [&](const auto &item) { return item.second.request == request && wasSent(item.first); }));
 }
 
-void rule_checker::see(const core_action &action)
+void rule_checker::check(const core_action &action)
 {
     if (const auto *start = std::get_if<start_attempt>(&action))
-        see(*start);
-    else if (const auto *answer = std::get_if<finish_request>(&action))
-        see(*answer);
+        check(*start);
+    else if (const auto *finish = std::get_if<finish_request>(&action))
+        check(*finish);
     else if (const auto *cancel = std::get_if<cancel_attempt>(&action))
-        m_open.erase(cancel->attempt);
+        m_inFlight.erase(cancel->attempt);
     else if (const auto *bill = std::get_if<write_bill>(&action))
         expect(++m_bills[bill->request] == 1, "at most one bill", bill->request);
 }
 
-void rule_checker::see(const start_attempt &action)
+void rule_checker::check(const start_attempt &action)
 {
     const auto &config = m_simulation.config();
     const auto &request = m_requests[action.request];
@@ -155,12 +156,13 @@
         expect(sentAttempts(action.request) == 0, "one non-idempotent attempt that was sent", action.request);
     }
     m_attempts[action.attempt] = {action.request, action.upstream};
-    const auto print = fingerprint(action.request);
-    const auto crashes = m_crashes[print];
-    const auto copies = std::ranges::count_if(
-        m_open, [&](attempt_token open) { return fingerprint(m_attempts[open].request) == print; });
-    expect(crashes == 0 || crashes + copies < quarantine::kCrashLimit, "no dispatch in quarantine", action.request);
-    m_open.insert(action.attempt);
+    const auto requestFingerprint = fingerprint(action.request);
+    const auto crashes = m_crashes[requestFingerprint];
+    const auto copiesInFlight = std::ranges::count_if(
+        m_inFlight, [&](attempt_token open) { return fingerprint(m_attempts[open].request) == requestFingerprint; });
+    expect(crashes == 0 || crashes + copiesInFlight < quarantine::kCrashLimit, "no dispatch in quarantine",
+           action.request);
+    m_inFlight.insert(action.attempt);
     std::set<std::string> crashed;
     for (const auto &[attempt, entry] : m_attempts) {
         const auto failure = m_failures.find(attempt);
@@ -171,20 +173,20 @@
     expect(crashed.size() < quarantine::kCrashLimit, "no third upstream after two crashes", action.request);
 }
 
-void rule_checker::see(const finish_request &action)
+void rule_checker::check(const finish_request &action)
 {
-    expect(++m_finishes[action.request] == 1, "one final answer", action.request);
+    expect(++m_finishes[action.request] == 1, "one final response", action.request);
     const bool notRun = action.outcome == outcome_kind::not_run || action.outcome == outcome_kind::invalid;
     expect(!notRun || sentAttempts(action.request) == 0, "not_run only if nothing was sent", action.request);
-    const bool isFresh = action.outcome == outcome_kind::complete && action.storedResponse.empty();
-    expect(!isFresh || m_bills[action.request] == 1, "bill before a whole answer", action.request);
+    const bool isFresh = action.outcome == outcome_kind::complete && action.storedAnswer.empty();
+    expect(!isFresh || m_bills[action.request] == 1, "bill before a complete response", action.request);
 }
 
 void rule_checker::finish()
 {
     for (const auto &[token, request] : m_requests)
-        expect(m_finishes[token] == 1, "one final answer", token);
-    // Requests with equal account and id are one request to the ledger.
+        expect(m_finishes[token] == 1, "one final response", token);
+    // The ledger treats submissions with the same account and id as one request.
     std::map<std::string, int> sentById;
     for (const auto &[token, request] : m_requests) {
         const auto kind = m_simulation.config().kindByName(request.kind);
@@ -193,11 +195,11 @@
     }
     for (const auto &[id, count] : sentById) {
         if (count > 1)
-            m_broken.push_back("one non-idempotent attempt that was sent, id " + id);
+            m_violations.push_back("one non-idempotent attempt that was sent, id " + id);
     }
 }
 
-/// One random run: everything is derived from a seed, so that a failing case is its seed.
+/// One random run. All choices derive from one seed, so the seed reproduces a failing case.
 class random_run
 {
 public:
@@ -216,10 +218,10 @@
     {
         m_simulation.run(120s);
         m_checker.finish();
-        auto broken = m_checker.broken();
+        auto violations = m_checker.violations();
         if (m_simulation.openRequests() != 0)
-            broken.push_back("requests are left open: " + std::to_string(m_simulation.openRequests()));
-        return broken;
+            violations.push_back("requests left open: " + std::to_string(m_simulation.openRequests()));
+        return violations;
     }
     [[nodiscard]] std::string transcript() const { return m_simulation.transcript(); }
 
@@ -228,8 +230,8 @@
     [[nodiscard]] static std::vector<upstream_info> makeUpstreams();
     [[nodiscard]] std::uint64_t below(std::uint64_t limit) { return m_random() % limit; }
     [[nodiscard]] bool chance(unsigned percent) { return below(100) < percent; }
-    [[nodiscard]] milliseconds anyTime() { return milliseconds{10 + below(20000)}; }
-    [[nodiscard]] attempt_script anyScript(const start_attempt &attempt);
+    [[nodiscard]] milliseconds randomTime() { return milliseconds{10 + below(20000)}; }
+    [[nodiscard]] attempt_script randomScript(const start_attempt &attempt);
     void scriptPorts();
     void scriptRequests();
     void scriptOperators();
@@ -255,7 +257,7 @@
     add("brush-2", "brush", version_state::active);
     add("scroll-2", "scroll", version_state::rolling_out);
     add("clerk-desk-2", "clerk-desk", version_state::active);
-    config.tune.retryBudgetPercent = 100; // more retries than in operation, so that their rules are tried
+    config.tune.retryBudgetPercent = 100; // allows more retries than in production, to exercise their rules
     return config;
 }
 
@@ -274,7 +276,7 @@
     return upstreams;
 }
 
-attempt_script random_run::anyScript(const start_attempt &attempt)
+attempt_script random_run::randomScript(const start_attempt &attempt)
 {
     attempt_script script{.chunks = {"one ", "two"}, .first = milliseconds{5 + below(600)}};
     script.silent = chance(4);
@@ -291,7 +293,7 @@
 void random_run::scriptPorts()
 {
     m_simulation.upstream = [this](const start_attempt &attempt) {
-        return anyScript(attempt);
+        return randomScript(attempt);
     };
     m_simulation.rating = [this](std::string_view) {
         return chance(10) ? std::nullopt : std::optional(static_cast<std::uint32_t>(500 + below(500)));
@@ -299,8 +301,8 @@
     m_simulation.copies = [this](const core_input &) {
         return chance(5) ? 0 : chance(10) ? 2 : 1;
     };
-    m_simulation.call(anyTime(), "store down", [this] { m_simulation.ledger.down = true; });
-    m_simulation.call(anyTime(), "store up", [this] { m_simulation.ledger.down = false; });
+    m_simulation.call(randomTime(), "store down", [this] { m_simulation.ledger.down = true; });
+    m_simulation.call(randomTime(), "store up", [this] { m_simulation.ledger.down = false; });
 }
 
 void random_run::scriptRequests()
@@ -308,8 +310,8 @@
     static constexpr std::array kKinds{"appeal-draft", "page-tag", "docket-status", "receipt-check", "page-tag"};
     const auto count = 20 + below(60);
     for (std::uint64_t i = 0; i < count; ++i) {
-        const auto time = anyTime();
-        const auto token = m_simulation.submit(time, kKinds[below(kKinds.size())], [&](caller_request &request) {
+        const auto time = randomTime();
+        const auto token = m_simulation.ask(time, kKinds[below(kKinds.size())], [&](caller_request &request) {
             if (chance(25))
                 request.requestId = "1790000000-shared" + std::to_string(below(4)) + request.kind;
             if (chance(30))
@@ -325,7 +327,7 @@
             m_simulation.at(time + milliseconds{below(800)}, caller_gone{token});
     }
     if (chance(20))
-        m_simulation.at(anyTime(), drain_request{});
+        m_simulation.at(randomTime(), drain_request{});
 }
 
 void random_run::scriptOperators()
@@ -333,7 +335,7 @@
     for (std::uint64_t i = 0; i < below(6); ++i) {
         const auto version = below(6);
         const auto state = static_cast<version_state>(below(4));
-        const auto time = anyTime();
+        const auto time = randomTime();
         m_simulation.configure(time, [version, state](fleet &config) {
             auto &entry = config.versions[version];
             if (entry.state != version_state::withdrawn)
@@ -341,7 +343,7 @@
         });
     }
     if (chance(40)) {
-        m_simulation.configure(anyTime(), [this](fleet &config) {
+        m_simulation.configure(randomTime(), [this](fleet &config) {
             auto &grants = config.accounts[0].grants;
             grants.erase(grants.begin() + static_cast<std::ptrdiff_t>(below(grants.size())));
         });
@@ -358,33 +360,33 @@
 void random_run::scriptHosts()
 {
     for (std::uint64_t i = 0; i < below(4); ++i) {
-        const auto time = anyTime();
+        const auto time = randomTime();
         setLease(time, milliseconds{below(500)});
         setLease(time + milliseconds{below(4000)}, std::chrono::hours{1});
     }
     for (std::uint64_t i = 0; i < below(4); ++i) {
         auto upstreams = makeUpstreams();
         upstreams[below(upstreams.size())].state = host_state::leaving;
-        m_simulation.at(anyTime(), upstreams_changed{upstreams});
+        m_simulation.at(randomTime(), upstreams_changed{upstreams});
     }
     for (int i = 0; i < 10; ++i)
-        m_simulation.at(anyTime(), attempt_done{attempt_token{1 + below(40)}, 1, 1});
+        m_simulation.at(randomTime(), attempt_done{attempt_token{1 + below(40)}, 1, 1});
 }
 
 } // namespace
 
 TEST_CASE("the rules of a request hold under random failures")
 {
-    // Fixed seed in CI; RC_PARAMS overrides it for runs by hand.
+    // Fixed seed for CI; RC_PARAMS overrides it for manual runs.
     if (!std::getenv("RC_PARAMS")) // NOLINT(concurrency-mt-unsafe): single-threaded test
         setenv("RC_PARAMS", "seed=20260 max_success=300", 0); // NOLINT(concurrency-mt-unsafe)
     const bool holds = rc::check("rules of a request", [] {
-        // A seed has no smaller form, so it is neither sized nor shrunk.
+        // Shrinking a seed gives an unrelated run, so it is generated at nominal size and not shrunk.
         const auto seed = *rc::gen::noShrink(rc::gen::resize(rc::kNominalSize, rc::gen::arbitrary<std::uint64_t>()));
         random_run run(seed);
-        const auto broken = run.run();
-        if (!broken.empty())
-            RC_FAIL("seed " + std::to_string(seed) + ": " + broken.front() + "\n" + run.transcript());
+        const auto violations = run.run();
+        if (!violations.empty())
+            RC_FAIL("seed " + std::to_string(seed) + ": " + violations.front() + "\n" + run.transcript());
     });
     CHECK(holds);
 }
--- a/tests/test_core_simulation.cpp
+++ b/tests/test_core_simulation.cpp
@@ -1,4 +1,4 @@
-// Virtual-time driver of the decision core for tests; see core_simulation_p.h.
+// Virtual-time simulation of the decision core for tests; see core_simulation_p.h.
 #include "core_simulation_p.h"
 
 namespace foxtaildyke::test
@@ -87,7 +87,7 @@
 
 void core_simulation::run(milliseconds until)
 {
-    constexpr int kStepLimit = 200000; // ends a loop of timers that never advances
+    constexpr int kStepLimit = 200000; // ends the run if timers keep firing without advancing the time
     for (int i = 0; i < kStepLimit; ++i) {
         const auto timer = m_core.nextTimer();
         const bool hasStep = !m_queue.empty() && m_queue.begin()->first <= until;
@@ -145,18 +145,18 @@
     else if (const auto *finish = std::get_if<finish_request>(&action))
         m_responses[finish->request].push_back(*finish);
     else if (const auto *claim = std::get_if<write_claim>(&action))
-        reply(ledgerDelay, ledger.claim(*claim));
+        respond(ledgerDelay, ledger.claim(*claim));
     else if (const auto *bill = std::get_if<write_bill>(&action))
-        reply(ledgerDelay, ledger.bill(*bill));
+        respond(ledgerDelay, ledger.bill(*bill));
     else if (const auto *pin = std::get_if<write_pin>(&action))
-        reply(ledgerDelay, ledger.pin(*pin));
-    else if (const auto *rate = std::get_if<request_rating>(&action))
-        reply(milliseconds{20},
-              rating_response{rate->request, rate->attempt,
-                              rating ? rating(m_versions[rate->attempt]) : std::optional(950U)});
+        respond(ledgerDelay, ledger.pin(*pin));
+    else if (const auto *rate = std::get_if<ask_rating>(&action))
+        respond(milliseconds{20},
+                rating_reply{rate->request, rate->attempt,
+                             rating ? rating(m_versions[rate->attempt]) : std::optional(950U)});
 }
 
-void core_simulation::reply(milliseconds delay, const core_input &input)
+void core_simulation::respond(milliseconds delay, const core_input &input)
 {
     const int count = copies ? copies(input) : 1;
     for (int i = 0; i < count; ++i)
