--- a/src/router_core_attempts.cpp
+++ b/src/router_core_attempts.cpp
@@ -192,7 +192,7 @@
 
 std::string router_core::implementation::stratumOf(const open_request &request)
 {
-    // A stronger model receives only requests that weaker models failed, so escalated requests form a separate stratum.
+    // Weaker models have failed every escalated request, so results of these are counted in a separate stratum.
     return request.escalatedFromModel.empty() ? request.input.kind : request.input.kind + "/escalated";
 }
 
--- a/src/router_core_dispatch.cpp
+++ b/src/router_core_dispatch.cpp
@@ -255,8 +255,7 @@
     const auto crashes = m_quarantine.crashes(request.fingerprint, m_now);
     const auto running = m_runningByFingerprint.find(request.fingerprint);
     if (crashes > 0 && running != m_runningByFingerprint.end() && crashes + running->second >= quarantine::kCrashLimit)
-        return; // Limits concurrent copies of a request that has crashed an upstream, so that crashes stay within
-                // kCrashLimit.
+        return; // Copies of a request that has crashed an upstream run one at a time, to stay within kCrashLimit.
     const auto &version = (*m_config)[chosen.version];
     const auto prefix = std::string_view(request.input.prompt).substr(0, kPrefixBytes);
     const pick_request criteria{.service = (*m_config)[version.model].service,
--- a/src/router_core_state_p.h
+++ b/src/router_core_state_p.h
@@ -233,18 +233,15 @@
     std::set<std::string, std::less<>> m_haltedVersions; ///< versions halted by evidence, on this or another host
     std::map<std::pair<std::string, std::string>, answer_size> m_responseStats; ///< key: names of kind and version
 
-    /// Invariant: contains a request from its admission until its finish_request and, if an attempt continues, its
-    /// bill.
+    /// Invariant: contains a request from admission until its finish_request and, if an attempt continues, its bill.
     std::unordered_map<request_token, std::unique_ptr<open_request>> m_requests;
-    std::unordered_map<attempt_token, open_attempt>
-        m_attempts; ///< invariant: each entry belongs to one running request
+    /// Invariant: each entry belongs to one running request.
+    std::unordered_map<attempt_token, open_attempt> m_attempts;
     std::map<attempt_token, open_rating> m_ratings;
-    std::set<std::pair<instant, request_token>> m_timers; ///< one timer for each request; see open_request::timerAt
-    std::set<std::pair<std::string, std::string>>
-        m_openRequestIds; ///< account and request id of the requests in flight
+    std::set<std::pair<instant, request_token>> m_timers; ///< at most one for each request; see open_request::timerAt
+    std::set<std::pair<std::string, std::string>> m_openRequestIds; ///< (account, request id) of requests in flight
     std::unordered_map<std::uint64_t, std::uint32_t> m_runningByFingerprint; ///< number of attempts in flight
-    /// Claims written by this host whose attempt was never sent (account, request id). A resend through this host may
-    /// run.
+    /// (account, request id) of claims by this host whose attempt was never sent. A resend through this host may run.
     std::deque<std::pair<std::string, std::string>> m_unsentClaims;
 
     std::vector<core_action> m_actions;
