--- a/src/ports_p.h
+++ b/src/ports_p.h
@@ -29,7 +29,7 @@
     virtual void onDrain() { }
 };
 
-/// Writes claims, pins and bills, and delivers exactly one ledger_reply for each to the sink.
+/// Writes claims, pins and bills, and delivers exactly one ledger_response for each to the sink.
 class ledger_port : public port_events
 {
 public:
@@ -59,7 +59,7 @@
     virtual void share(const share_quarantine &entry) = 0;
 
     /// Counts a request towards the demand of its client account.
-    virtual void noteRequest(const std::string &apiKey) = 0;
+    virtual void recordRequest(const std::string &apiKey) = 0;
 };
 
 } // namespace foxtaildyke
--- a/src/router_core.cpp
+++ b/src/router_core.cpp
@@ -52,7 +52,7 @@
 
 void router_core::learnEstimates(const std::vector<estimate_counts> &counts)
 {
-    m_impl->m_policy.learnFromOthers(counts);
+    m_impl->m_policy.mergeRemoteCounts(counts);
     ++m_impl->m_planEpoch;
 }
 
@@ -132,7 +132,7 @@
 
 void router_core::implementation::on(const evidence_update &input)
 {
-    m_evidence.setTotals(input.totals, m_now, input.ownPart);
+    m_evidence.setTotals(input.totals, m_now, input.ownContribution);
     ++m_planEpoch;
     for (const auto &version : input.haltedVersions) {
         if (m_haltedVersions.insert(version).second)
--- a/src/router_core_attempts.cpp
+++ b/src/router_core_attempts.cpp
@@ -14,7 +14,7 @@
     << 20; ///< bounds memory where an upstream ignores max_tokens
 constexpr double kSmoothing = 0.2; ///< weight of the newest value in an exponential moving average
 
-std::uint64_t costOf(const attempt_answer &response)
+std::uint64_t costOf(const attempt_response &response)
 {
     constexpr std::uint64_t kTokensPerPrice = 1000;
     const std::uint64_t cost = std::uint64_t{response.promptTokens} * response.promptMicroUnitsPer1k
@@ -150,8 +150,8 @@
 {
     const auto found = m_attempts.find(*request.attempt);
     const auto duration = std::chrono::duration_cast<std::chrono::milliseconds>(m_now - found->second.startedAt);
-    m_balancer.noteEnd(found->second.upstream, failure, m_now);
-    m_admission.noteEnd(found->second.service, request.priority, duration);
+    m_balancer.recordEnd(found->second.upstream, failure, m_now);
+    m_admission.recordEnd(found->second.service, request.priority, duration);
     const auto running = m_runningByFingerprint.find(request.fingerprint);
     if (--running->second == 0)
         m_runningByFingerprint.erase(running);
@@ -177,7 +177,7 @@
 {
     const bool isEvidence =
         isVersionFault(failure) || (failure == attempt_failure::timed_out && isTimeoutEvidence(request, attempt));
-    noteResult(attempt.version, isEvidence ? std::optional(false) : std::nullopt, stratumOf(request));
+    recordResult(attempt.version, isEvidence ? std::optional(false) : std::nullopt, stratumOf(request));
 }
 
 bool router_core::implementation::isTimeoutEvidence(const open_request &request, const open_attempt &attempt) const
@@ -220,8 +220,8 @@
 {
     if (m_now > request.deadline) // A mean beyond the kind's deadline would refuse all later requests of the kind.
         return;
-    const answer_size stats{std::chrono::duration<double, std::milli>(m_now - attempt.startedAt).count(),
-                            static_cast<double>(request.response.completionTokens)};
+    const response_stats stats{std::chrono::duration<double, std::milli>(m_now - attempt.startedAt).count(),
+                               static_cast<double>(request.response.completionTokens)};
     const auto [entry, isNew] = m_responseStats.try_emplace({request.input.kind, attempt.version}, stats);
     if (isNew)
         return;
--- a/src/router_core_completion.cpp
+++ b/src/router_core_completion.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kStoredResponseBytes = 2048; ///< longer responses are not stored in the ledger
 constexpr std::size_t kUnsentClaimsLimit = 1024; ///< bounds the memory that m_unsentClaims uses
 
-std::string toStoredJson(const attempt_answer &response, std::uint64_t costMicroUnits)
+std::string toStoredJson(const attempt_response &response, std::uint64_t costMicroUnits)
 {
     const nlohmann::json body{{"text", response.text},
                               {"model", response.model},
@@ -48,7 +48,7 @@
     dispatchQueued();
 }
 
-void router_core::implementation::onPinResponse(open_request &request, const ledger_reply &response)
+void router_core::implementation::onPinResponse(open_request &request, const ledger_response &response)
 {
     if (response.status != ledger_status::written && response.status != ledger_status::exists_pinned)
         return fail(request, reason_code::store_unavailable);
@@ -59,7 +59,7 @@
     record("pinned", request, response.status == ledger_status::written ? "first pin of the session" : "earlier pin");
 }
 
-void router_core::implementation::onClaimResponse(open_request &request, const ledger_reply &response)
+void router_core::implementation::onClaimResponse(open_request &request, const ledger_response &response)
 {
     const auto unsentClaim = std::ranges::find(m_unsentClaims, std::pair(request.account, request.requestId));
     const bool isUnsentClaim = response.status == ledger_status::exists_open && unsentClaim != m_unsentClaims.end();
@@ -80,12 +80,12 @@
     if (response.status == ledger_status::exists_billed && !response.answer.empty()) {
         finalResponse.outcome = outcome_kind::complete;
         finalResponse.reason = reason_code::none;
-        finalResponse.storedAnswer = response.answer;
+        finalResponse.storedResponse = response.answer;
     }
     finish(request, std::move(finalResponse));
 }
 
-void router_core::implementation::onBillResponse(open_request &request, const ledger_reply &response)
+void router_core::implementation::onBillResponse(open_request &request, const ledger_response &response)
 {
     const bool isBilled = response.status == ledger_status::written || response.status == ledger_status::copied
         || response.status == ledger_status::exists_billed;
@@ -109,7 +109,7 @@
 {
     const auto kind = m_config->kindByName(request.input.kind);
     if (!kind.isValid() || !(*m_config)[kind].rated)
-        return noteResult(request.response.version, std::nullopt);
+        return recordResult(request.response.version, std::nullopt);
     m_ratings[request.lastAttempt] = {.request = request.input.request,
                                       .kind = request.input.kind,
                                       .stratum = stratumOf(request),
@@ -117,7 +117,7 @@
                                       .targetPermille = (*m_config)[kind].targetPermille,
                                       .timesOutAt = m_now + kRatingTimeout};
     m_actions.emplace_back(
-        ask_rating{request.input.request, request.lastAttempt, request.input.kind, request.response.text});
+        request_rating{request.input.request, request.lastAttempt, request.input.kind, request.response.text});
 }
 
 void router_core::implementation::on(const rating_response &input)
--- a/src/router_core_dispatch.cpp
+++ b/src/router_core_dispatch.cpp
@@ -130,7 +130,7 @@
             .expectedLatency = std::chrono::milliseconds{static_cast<std::int64_t>(duration)}};
 }
 
-const answer_size *router_core::implementation::statsOf(const open_request &request, version_handle version) const
+const response_stats *router_core::implementation::statsOf(const open_request &request, version_handle version) const
 {
     const auto found = m_responseStats.find({request.input.kind, (*m_config)[version].name});
     return found == m_responseStats.end() ? nullptr : &found->second;
--- a/src/router_core_intake.cpp
+++ b/src/router_core_intake.cpp
@@ -169,9 +169,9 @@
     if (m_requests.size() >= kOpenRequestLimit)
         return notRun(reason_code::over_capacity, retryAfterOf(reason_code::over_capacity));
     request.pool = (*m_config)[(*m_config)[chosen.version].model].service;
-    const auto wait = m_admission.startEstimate(request.account, request.priority, request.pool);
+    const auto wait = m_admission.estimateQueueWait(request.account, request.priority, request.pool);
     if (!canFinishInTime(request, chosen.version, m_now + std::chrono::duration_cast<instant>(kWaitMargin * wait)))
-        return notRun(reason_code::deadline_unreachable, m_admission.spread(std::max(wait, kMinRetryMs)));
+        return notRun(reason_code::deadline_unreachable, m_admission.addJitter(std::max(wait, kMinRetryMs)));
     const auto decision = m_admission.admit(*m_config, m_config->accountByName(request.account), m_now);
     return decision.reason == reason_code::none ? kAccepted : notRun(decision.reason, decision.retryAfter);
 }
--- a/src/router_core_p.h
+++ b/src/router_core_p.h
@@ -68,7 +68,7 @@
                                        "copied",  "unavailable", "unknown"};
 };
 
-/// Action that a ledger_reply belongs to. Keeps a late or duplicate response to a pin from being taken for a claim's.
+/// Action that a ledger_response belongs to. Without it, a late response to a pin could be taken for a claim's.
 enum class ledger_step : std::uint8_t { claim, bill, pin, count };
 
 template <>
@@ -85,7 +85,7 @@
 };
 struct rating_response {
     request_token request{};
-    attempt_token attempt{}; ///< as in ask_rating
+    attempt_token attempt{}; ///< as in request_rating
     std::optional<std::uint32_t> scorePermille; ///< not set: the rating service did not respond
 };
 struct config_changed {
@@ -109,7 +109,7 @@
 struct evidence_update {
     std::vector<version_evidence> totals;
     std::vector<std::string> haltedVersions;
-    std::vector<version_evidence> ownPart; ///< this host's own deltas that `totals` already includes
+    std::vector<version_evidence> ownContribution; ///< this host's own deltas that `totals` already includes
 };
 /// Rated responses of other hosts since the last update, from the relay.
 struct estimates_update {
@@ -171,7 +171,7 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t completionTokens = 0;
     std::uint64_t costMicroUnits = 0;
-    std::string storedAnswer; ///< response of an earlier run as JSON, if the ledger has it
+    std::string storedResponse; ///< response of an earlier run as JSON, if the ledger has it
 };
 struct write_claim {
     request_token request{};
@@ -196,7 +196,7 @@
     std::vector<std::string> versions; ///< proposed version names, one for each model that is open to the account
 };
 /// Requests a rating. If the request already has its final response, the rating is used as evidence only.
-struct ask_rating {
+struct request_rating {
     request_token request{};
     attempt_token attempt{}; ///< attempt to rate; a cascade may rate several attempts of one request
     std::string kind;
--- a/src/router_core_state_p.h
+++ b/src/router_core_state_p.h
@@ -29,7 +29,7 @@
 };
 
 /// Response of one attempt.
-struct attempt_answer {
+struct attempt_response {
     std::string model;
     std::string version;
     std::uint32_t promptMicroUnitsPer1k = 0; ///< prices at dispatch time
@@ -74,9 +74,9 @@
     std::string blockedOnVersion; ///< version without a free slot at the last dispatch pass; may be empty
     std::uint64_t blockedAtEpoch = 0; ///< m_planEpoch at that pass
 
-    attempt_answer response; ///< of the attempt in flight or just ended
+    attempt_response response; ///< of the attempt in flight or just ended
     std::size_t deliveredBytes = 0; ///< number of bytes of response.text delivered by send_chunk
-    std::optional<attempt_answer> retainedResponse; ///< best response below the target so far, during an escalation
+    std::optional<attempt_response> retainedResponse; ///< best response below the target so far, during an escalation
     std::string escalatedFromModel; ///< if set, only models after this one in the cascade are candidates
     std::uint64_t costMicroUnits = 0; ///< sum over all attempts that reported a token count
 };
@@ -112,7 +112,7 @@
 };
 
 /// Moving averages over complete responses.
-struct answer_size {
+struct response_stats {
     double durationMs = 0;
     double completionTokens = 0;
 };
@@ -150,7 +150,7 @@
     // Dispatch: router_core_dispatch.cpp.
     [[nodiscard]] bool hasLease() const;
     /// @returns averages over earlier responses of the kind and version, or null.
-    [[nodiscard]] const answer_size *statsOf(const open_request &request, version_handle version) const;
+    [[nodiscard]] const response_stats *statsOf(const open_request &request, version_handle version) const;
     [[nodiscard]] bool canFinishInTime(const open_request &request, version_handle version, instant start) const;
     [[nodiscard]] bool isLeaseExpected() const;
     void recordLeaseState();
@@ -178,7 +178,7 @@
     /// @param ran whether an upstream may have run the failed attempt.
     void retryOrFail(open_request &request, reason_code reason, bool ran);
     [[nodiscard]] std::string_view retryObstacle(const open_request &request, bool ran);
-    void noteResult(const std::string &version, std::optional<bool> passed, const std::string &stratum = {});
+    void recordResult(const std::string &version, std::optional<bool> passed, const std::string &stratum = {});
     [[nodiscard]] bool isTimeoutEvidence(const open_request &request, const open_attempt &attempt) const;
     [[nodiscard]] static std::string stratumOf(const open_request &request);
     void checkEvidence(const std::string &version);
@@ -187,9 +187,9 @@
     void cancelIfWithdrawn(open_request &request);
 
     // Completion: router_core_answers.cpp.
-    void onPinResponse(open_request &request, const ledger_reply &response);
-    void onClaimResponse(open_request &request, const ledger_reply &response);
-    void onBillResponse(open_request &request, const ledger_reply &response);
+    void onPinResponse(open_request &request, const ledger_response &response);
+    void onClaimResponse(open_request &request, const ledger_response &response);
+    void onBillResponse(open_request &request, const ledger_response &response);
     void requestRating(const open_request &request);
     void onRated(open_request &request, std::optional<std::uint32_t> score);
     void escalate(open_request &request);
@@ -231,7 +231,7 @@
     quarantine m_quarantine;
     std::vector<upstream_info> m_upstreams;
     std::set<std::string, std::less<>> m_haltedVersions; ///< versions halted by evidence, on this or another host
-    std::map<std::pair<std::string, std::string>, answer_size> m_responseStats; ///< key: names of kind and version
+    std::map<std::pair<std::string, std::string>, response_stats> m_responseStats; ///< key: names of kind and version
 
     /// Invariant: contains a request from admission until its finish_request and, if an attempt continues, its bill.
     std::unordered_map<request_token, std::unique_ptr<open_request>> m_requests;
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -30,7 +30,7 @@
         };
     }
 
-    void noteRequest(const caller_request &request) { m_requests[request.request] = request; }
+    void recordRequest(const caller_request &request) { m_requests[request.request] = request; }
     /// Checks the rules that need the complete run.
     void finish();
     [[nodiscard]] const std::vector<std::string> &violations() const { return m_violations; }
@@ -127,8 +127,8 @@
 {
     if (const auto *start = std::get_if<start_attempt>(&action))
         check(*start);
-    else if (const auto *finish = std::get_if<finish_request>(&action))
-        check(*finish);
+    else if (const auto *finished = std::get_if<finish_request>(&action))
+        check(*finished);
     else if (const auto *cancel = std::get_if<cancel_attempt>(&action))
         m_inFlight.erase(cancel->attempt);
     else if (const auto *bill = std::get_if<write_bill>(&action))
@@ -178,7 +178,7 @@
     expect(++m_finishes[action.request] == 1, "one final response", action.request);
     const bool notRun = action.outcome == outcome_kind::not_run || action.outcome == outcome_kind::invalid;
     expect(!notRun || sentAttempts(action.request) == 0, "not_run only if nothing was sent", action.request);
-    const bool isFresh = action.outcome == outcome_kind::complete && action.storedAnswer.empty();
+    const bool isFresh = action.outcome == outcome_kind::complete && action.storedResponse.empty();
     expect(!isFresh || m_bills[action.request] == 1, "bill before a complete response", action.request);
 }
 
@@ -311,7 +311,7 @@
     const auto count = 20 + below(60);
     for (std::uint64_t i = 0; i < count; ++i) {
         const auto time = randomTime();
-        const auto token = m_simulation.ask(time, kKinds[below(kKinds.size())], [&](caller_request &request) {
+        const auto token = m_simulation.submit(time, kKinds[below(kKinds.size())], [&](caller_request &request) {
             if (chance(25))
                 request.requestId = "1790000000-shared" + std::to_string(below(4)) + request.kind;
             if (chance(30))
--- a/tests/test_core_simulation.cpp
+++ b/tests/test_core_simulation.cpp
@@ -150,10 +150,10 @@
         respond(ledgerDelay, ledger.bill(*bill));
     else if (const auto *pin = std::get_if<write_pin>(&action))
         respond(ledgerDelay, ledger.pin(*pin));
-    else if (const auto *rate = std::get_if<ask_rating>(&action))
+    else if (const auto *rate = std::get_if<request_rating>(&action))
         respond(milliseconds{20},
-                rating_reply{rate->request, rate->attempt,
-                             rating ? rating(m_versions[rate->attempt]) : std::optional(950U)});
+                rating_response{rate->request, rate->attempt,
+                                rating ? rating(m_versions[rate->attempt]) : std::optional(950U)});
 }
 
 void core_simulation::respond(milliseconds delay, const core_input &input)
