--- a/src/router_core_p.h
+++ b/src/router_core_p.h
@@ -68,7 +68,8 @@
                                        "copied",  "unavailable", "unknown"};
 };
 
-/// Action that a ledger_response belongs to. Without it, a late response to a pin could be taken for a claim's.
+/// Action that a ledger_response belongs to. Without it, a late or duplicate response to a pin could pass for a
+/// claim's.
 enum class ledger_step : std::uint8_t { claim, bill, pin, count };
 
 template <>
