--- a/src/ledger.cpp
+++ b/src/ledger.cpp
@@ -82,7 +82,7 @@
     std::size_t m_nextPart = 0; ///< while loading
     log_index m_nextIndex = 0; ///< the log is known up to here
     std::optional<log_index> m_unverifiedFrom; ///< first batch taken from a read since the floor was last read
-    std::deque<unsnapshot_record> m_unsnapshot; ///< effective records at and after m_head.index, in log order
+    std::deque<unsnapshotted_record> m_unsnapshot; ///< effective records at and after m_head.index, in log order
     std::map<log_index, object_version> m_batchVersions; ///< batch objects at and after m_head.index
 
     std::deque<waiting_record> m_queue;
@@ -95,7 +95,7 @@
     int m_lostRaces = 0; ///< in a row
     instant m_paidUntil{}; ///< end of the period that the last batches use up at the pace of writePeriod
 
-    std::vector<std::pair<append_done, append_reply>> m_replies; ///< given at the end of the current entry
+    std::vector<std::pair<append_done, append_outcome>> m_replies; ///< given at the end of the current entry
 
     template <typename value_type>
     auto then(void (implementation::*next)(value_type))
@@ -111,7 +111,7 @@
         };
     }
 
-    void answer(waiting_record &waiting, append_reply reply)
+    void answer(waiting_record &waiting, append_outcome reply)
     {
         if (waiting.done)
             m_replies.emplace_back(std::exchange(waiting.done, nullptr), std::move(reply));
@@ -186,7 +186,7 @@
         const bool isVerified = m_loaded && !m_unverifiedFrom;
         if (waiting.maybeWritten || (reply && !isVerified))
             return answer(waiting, {ledger_status::unknown, {}, {}});
-        answer(waiting, reply.value_or(append_reply{}));
+        answer(waiting, reply.value_or(append_outcome{}));
     }
 
     // Loading.
@@ -459,7 +459,7 @@
     {
         for (auto &waiting : m_batch) {
             const bool counts = applyRecord(waiting.record, &waiting.encoded);
-            answer(waiting, counts ? append_reply{ledger_status::written, {}, {}} : *m_index.find(waiting.record));
+            answer(waiting, counts ? append_outcome{ledger_status::written, {}, {}} : *m_index.find(waiting.record));
         }
         m_batch.clear();
         m_batchVersions[m_nextIndex] = m_batchVersion;
@@ -475,7 +475,7 @@
     {
         if (m_compaction.busy() || m_nextIndex - m_head.index < m_timing.snapshotBatches)
             return;
-        const std::vector<unsnapshot_record> records(m_unsnapshot.begin(), m_unsnapshot.end());
+        const std::vector<unsnapshotted_record> records(m_unsnapshot.begin(), m_unsnapshot.end());
         std::vector<snapshot_head::part> replaced;
         for (const auto &[index, version] : m_batchVersions)
             replaced.push_back({batchKey(m_number, index), version, 0});
@@ -506,7 +506,7 @@
     void expire()
     {
         const auto isLate = [&](const waiting_record &waiting) {
-            return m_now - waiting.since >= m_timing.settle;
+            return m_now - waiting.since >= m_timing.appendTimeout;
         };
         for (auto &waiting : m_batch) {
             if (isLate(waiting))
@@ -544,8 +544,8 @@
 void ledger_segment::append(ledger_record record, append_done done)
 {
     auto &state = *m_impl;
-    if (record.answer.size() > ledger_record::kStoredAnswerBytes)
-        record.answer.clear(); // a cut JSON text is of no use to the caller
+    if (record.response.size() > ledger_record::kMaxStoredResponseBytes)
+        record.response.clear(); // a cut JSON text is of no use to the caller
     if (state.m_loaded && !state.m_unverifiedFrom) {
         const auto reply = state.m_index.find(record);
         const bool isFinal = reply && reply->status != ledger_status::exists_open;
--- a/src/ledger_codec.cpp
+++ b/src/ledger_codec.cpp
@@ -63,7 +63,7 @@
     record.promptTokens = value[7];
     record.completionTokens = value[8];
     record.costMicroUnits = value[9];
-    record.answer = value[10];
+    record.response = value[10];
     record.pins = value[11].get<std::vector<std::string>>();
     return record;
 }
@@ -91,7 +91,7 @@
 {
     return dump(json::array({static_cast<std::uint8_t>(record.type), record.account, record.id, record.writer,
                              record.unixSeconds, record.model, record.version, record.promptTokens,
-                             record.completionTokens, record.costMicroUnits, record.answer, json(record.pins)}));
+                             record.completionTokens, record.costMicroUnits, record.response, json(record.pins)}));
 }
 
 std::string joinBatch(std::string_view batchId, const std::vector<std::string> &encodedRecords)
--- a/src/ledger_compaction.cpp
+++ b/src/ledger_compaction.cpp
@@ -26,7 +26,7 @@
     std::int64_t expires = 0;
 };
 
-std::vector<part_body> makeParts(const std::vector<unsnapshot_record> &records)
+std::vector<part_body> makeParts(const std::vector<unsnapshotted_record> &records)
 {
     std::vector<part_body> parts;
     std::vector<std::string> encoded;
@@ -82,7 +82,7 @@
     std::vector<snapshot_head::part> m_removals; ///< objects to delete once the floor is written
     std::deque<std::string> m_orphans; ///< batch objects below the floor
     bool m_isLost = false; ///< another writer's snapshot is in force
-    head_done m_done;
+    snapshot_done m_done;
 
     /// Wraps a callback of the store: ignores it after destruction and goes on with the next step afterwards.
     template <typename value_type>
@@ -297,8 +297,8 @@
 }
 
 void ledger_compaction::start(snapshot_head base, object_version baseVersion, log_index index,
-                              const std::vector<unsnapshot_record> &records, std::vector<snapshot_head::part> replaced,
-                              std::int64_t unixSeconds, head_done done)
+                              const std::vector<unsnapshotted_record> &records,
+                              std::vector<snapshot_head::part> replaced, std::int64_t unixSeconds, snapshot_done done)
 {
     auto &job = *m_impl;
     job.m_bodies = makeParts(records);
--- a/src/ledger_index.cpp
+++ b/src/ledger_index.cpp
@@ -95,8 +95,8 @@
         counts = true;
     } else if (record.type == record_type::bill && target.billWriter == 0) {
         target.billWriter = hash;
-        if (!record.answer.empty())
-            target.stored = std::make_unique<content>(content{record.answer, {}});
+        if (!record.response.empty())
+            target.stored = std::make_unique<content>(content{record.response, {}});
         counts = true;
     }
     if (!counts)
@@ -107,23 +107,23 @@
     return true;
 }
 
-std::optional<append_reply> ledger_index::find(const ledger_record &record) const
+std::optional<append_outcome> ledger_index::find(const ledger_record &record) const
 {
     const auto *found = lookup(record);
     if (found == nullptr)
         return std::nullopt;
     const auto hash = writerHash(record.writer);
     if (record.type == record_type::pin)
-        return append_reply{ledger_status::exists_pinned, {}, found->stored->pins};
+        return append_outcome{ledger_status::exists_pinned, {}, found->stored->pins};
     if (record.type == record_type::claim && found->claimWriter == hash)
-        return append_reply{ledger_status::written, {}, {}};
+        return append_outcome{ledger_status::written, {}, {}};
     if (found->billWriter != 0) {
         if (record.type == record_type::bill && found->billWriter == hash)
-            return append_reply{ledger_status::written, {}, {}};
-        return append_reply{ledger_status::exists_billed, found->stored ? found->stored->answer : "", {}};
+            return append_outcome{ledger_status::written, {}, {}};
+        return append_outcome{ledger_status::exists_billed, found->stored ? found->stored->response : "", {}};
     }
     if (record.type == record_type::claim && found->claimWriter != 0)
-        return append_reply{ledger_status::exists_open, {}, {}};
+        return append_outcome{ledger_status::exists_open, {}, {}};
     return std::nullopt;
 }
 
--- a/src/ledger_index_p.h
+++ b/src/ledger_index_p.h
@@ -32,7 +32,7 @@
     bool apply(const ledger_record &record);
 
     /// @returns what the log says about the record's key, or nothing where it has no record of this type yet.
-    [[nodiscard]] std::optional<append_reply> find(const ledger_record &record) const;
+    [[nodiscard]] std::optional<append_outcome> find(const ledger_record &record) const;
 
     /// @returns whether the pin of this key is past half of its retention period and has to be written again.
     [[nodiscard]] bool needsRenewal(const ledger_record &record, std::int64_t unixSeconds) const;
@@ -46,7 +46,7 @@
 
 private:
     struct content {
-        std::string answer;
+        std::string response;
         std::vector<std::string> pins;
     };
     struct entry {
@@ -79,7 +79,7 @@
 [[nodiscard]] result<snapshot_head> decodeHead(std::string_view json);
 
 /// An effective record that no snapshot holds yet.
-struct unsnapshot_record {
+struct unsnapshotted_record {
     log_index index = 0;
     std::int64_t expires = 0;
     std::string encoded;
@@ -98,14 +98,14 @@
     ledger_compaction &operator=(const ledger_compaction &) = delete;
 
     /// Called with the head in force after a snapshot was written or lost to another writer.
-    using head_done = std::function<void(const snapshot_head &head, object_version version)>;
+    using snapshot_done = std::function<void(const snapshot_head &head, object_version version)>;
 
     /// Starts a snapshot of the batches before `index`. Not while busy().
     /// @param records effective records since `base`, in log order.
     /// @param replaced batch objects before `index` whose versions are known, to be deleted.
     void start(snapshot_head base, object_version baseVersion, log_index index,
-               const std::vector<unsnapshot_record> &records, std::vector<snapshot_head::part> replaced,
-               std::int64_t unixSeconds, head_done done);
+               const std::vector<unsnapshotted_record> &records, std::vector<snapshot_head::part> replaced,
+               std::int64_t unixSeconds, snapshot_done done);
 
     [[nodiscard]] bool busy() const;
     void tick(instant now);
--- a/src/ledger_p.h
+++ b/src/ledger_p.h
@@ -31,10 +31,10 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t completionTokens = 0;
     std::uint64_t costMicroUnits = 0;
-    std::string answer; ///< JSON of at most kStoredAnswerBytes
+    std::string response; ///< JSON of at most kMaxStoredResponseBytes
     std::vector<std::string> pins; ///< version names
 
-    static constexpr std::size_t kStoredAnswerBytes = 2048;
+    static constexpr std::size_t kMaxStoredResponseBytes = 2048;
 };
 
 /// @returns the segment of a key.
@@ -51,19 +51,19 @@
 [[nodiscard]] result<decoded_batch> decodeRecords(std::string_view json);
 
 /// Answer to an append: what the log says about the record's key.
-struct append_reply {
+struct append_outcome {
     ledger_status status = ledger_status::unavailable;
-    std::string answer;
+    std::string response;
     std::vector<std::string> pins;
 };
-using append_done = std::function<void(append_reply)>;
+using append_done = std::function<void(append_outcome)>;
 
 /// Timing of a segment.
 struct ledger_timing {
     std::chrono::microseconds linger{2000}; ///< group commit: how long the first record of a batch waits for others
     /// After this long without a settled write a record is answered. Loading a segment and writing its first batch
     /// takes five calls in a row, which a slow store answers in half a second each.
-    std::chrono::microseconds settle{3000000};
+    std::chrono::microseconds appendTimeout{3000000};
     std::chrono::microseconds retry{50000}; ///< pause after a failed call of the store
     std::uint64_t snapshotBatches = 256;
     /// Pace of batches once `writeBurst` batches came faster: 16 segments then make 200 writes and 200 deletions a
--- a/src/ledger_routing.cpp
+++ b/src/ledger_routing.cpp
@@ -75,7 +75,7 @@
     return position->second;
 }
 
-std::string ledger_hosts::copyHolder(std::string_view writer, const std::set<std::string> &tried) const
+std::string ledger_hosts::selectCopyHolder(std::string_view writer, const std::set<std::string> &tried) const
 {
     const auto key = XXH64(writer.data(), writer.size(), 0);
     const host_config *best = nullptr;
@@ -154,7 +154,7 @@
             return routed.done({});
         const auto number = segmentFor(routed.record);
         if (m_hosts.ownerOf(number) == m_host)
-            return appendHere(std::move(routed));
+            return appendLocally(std::move(routed));
         m_outboxes[number].waiting.push_back(std::move(routed));
         send(number);
     }
@@ -168,7 +168,7 @@
         auto records = std::make_shared<std::vector<routed_record>>(std::exchange(box.waiting, {}));
         if (owner == m_host) {
             for (auto &routed : *records)
-                appendHere(std::move(routed));
+                appendLocally(std::move(routed));
             return;
         }
         std::vector<std::string> encoded(records->size());
@@ -186,7 +186,7 @@
     }
 
     void takeReplies(const std::string &owner, std::vector<routed_record> &records,
-                     const result<std::vector<append_reply>> &replies)
+                     const result<std::vector<append_outcome>> &replies)
     {
         const bool isAnswer = replies.has_value() && replies.value().size() == records.size();
         if (!isAnswer)
@@ -200,12 +200,12 @@
             }
             const bool refused = isAnswer && replies.value()[i].status == ledger_status::unavailable;
             routed.maybeWritten = routed.maybeWritten || !(surelyNot || refused);
-            appendHere(std::move(routed));
+            appendLocally(std::move(routed));
         }
     }
 
     /// The reply of an append without a written record, where an owner may have written it, is not "not written".
-    void appendHere(routed_record routed)
+    void appendLocally(routed_record routed)
     {
         if (m_segmentCount == 0)
             return routed.done({});
@@ -213,7 +213,7 @@
             return routed.done(*known);
         const auto number = segmentFor(routed.record);
         auto shared = std::make_shared<routed_record>(std::move(routed));
-        segment(number).append(shared->record, [self = shared_from_this(), number, shared](append_reply reply) {
+        segment(number).append(shared->record, [self = shared_from_this(), number, shared](append_outcome reply) {
             if (self->m_closed)
                 return;
             if (shared->maybeWritten && reply.status == ledger_status::unavailable)
@@ -226,20 +226,20 @@
 
     // Pins during an outage.
 
-    [[nodiscard]] std::optional<append_reply> memoryPin(const ledger_record &record) const
+    [[nodiscard]] std::optional<append_outcome> memoryPin(const ledger_record &record) const
     {
         if (record.type != record_type::pin)
             return std::nullopt;
         const auto found = m_pins.find({record.account, record.id});
         if (found == m_pins.end() || found->second.writer == record.writer)
             return std::nullopt;
-        return append_reply{ledger_status::exists_pinned, {}, found->second.pins};
+        return append_outcome{ledger_status::exists_pinned, {}, found->second.pins};
     }
 
     /// The proposed versions are the same on all hosts with the same generation, so hosts that cannot reach each other
     /// agree. Without the log an older pin could be missed, so the pin is refused then. The reply is exists_pinned: the
     /// pin holds but is not durable.
-    append_reply pinInMemory(std::uint32_t number, const ledger_record &record, const append_reply &refusal)
+    append_outcome pinInMemory(std::uint32_t number, const ledger_record &record, const append_outcome &refusal)
     {
         const bool isSafe = segment(number).isLoaded() && m_hosts.ownerOf(number) == m_host;
         if (!isSafe)
@@ -261,7 +261,7 @@
     void writePin(const std::pair<std::string, std::string> &key, const ledger_record &record)
     {
         const auto number = segmentFor(record);
-        segment(number).append(record, [self = shared_from_this(), key](const append_reply &reply) {
+        segment(number).append(record, [self = shared_from_this(), key](const append_outcome &reply) {
             if (!self->m_closed && !isRefusal(reply.status))
                 self->m_pins.erase(key);
         });
@@ -303,9 +303,9 @@
     m_impl->route({std::move(record), std::move(done), false});
 }
 
-void ledger_router::appendHere(ledger_record record, append_done done)
+void ledger_router::appendLocally(ledger_record record, append_done done)
 {
-    m_impl->appendHere({std::move(record), std::move(done), false});
+    m_impl->appendLocally({std::move(record), std::move(done), false});
 }
 
 void ledger_router::tick(instant now, std::int64_t unixSeconds)
--- a/src/ledger_routing_p.h
+++ b/src/ledger_routing_p.h
@@ -26,7 +26,7 @@
     [[nodiscard]] const std::string &ownerOf(std::uint32_t segment);
 
     /// @returns a live host of another failure domain for a copy, spread by the record's writer; empty if none is left.
-    [[nodiscard]] std::string copyHolder(std::string_view writer, const std::set<std::string> &tried) const;
+    [[nodiscard]] std::string selectCopyHolder(std::string_view writer, const std::set<std::string> &tried) const;
 
     [[nodiscard]] bool isGone(const std::string &host) const;
 
@@ -57,7 +57,7 @@
     void route(ledger_record record, append_done done);
 
     /// Appends a record to a segment of this host.
-    void appendHere(ledger_record record, append_done done);
+    void appendLocally(ledger_record record, append_done done);
 
     void tick(instant now, std::int64_t unixSeconds);
     [[nodiscard]] std::optional<instant> nextTick() const;
--- a/src/ledger_service.cpp
+++ b/src/ledger_service.cpp
@@ -97,13 +97,13 @@
         bill.retryAt = m_now + m_timing.retry;
         if (!bill.copying)
             bill.tried.clear();
-        m_router.route(bill.record, [self = shared_from_this(), writer](const append_reply &reply) {
+        m_router.route(bill.record, [self = shared_from_this(), writer](const append_outcome &reply) {
             if (!self->m_closed)
                 self->onBillWritten(writer, reply);
         });
     }
 
-    void onBillWritten(const std::string &writer, const append_reply &reply)
+    void onBillWritten(const std::string &writer, const append_outcome &reply)
     {
         const auto found = m_bills.find(writer);
         if (found == m_bills.end())
@@ -128,10 +128,10 @@
         if (bill.copying || !bill.holder.empty())
             return;
         const auto holder =
-            bill.tried.size() < kMaxCopyTries ? m_router.hosts().copyHolder(writer, bill.tried) : std::string();
+            bill.tried.size() < kMaxCopyTries ? m_router.hosts().selectCopyHolder(writer, bill.tried) : std::string();
         if (holder.empty()) {
             // It is kept here and tried again, so it may still be written: not "unavailable".
-            if (bill.done && m_now - bill.since >= m_timing.billGiveUp)
+            if (bill.done && m_now - bill.since >= m_timing.billTimeout)
                 std::exchange(bill.done, nullptr)({ledger_status::unknown, {}, {}});
             return;
         }
@@ -197,7 +197,7 @@
             return false;
         for (auto &record : records) {
             const auto writer = record.writer;
-            m_copies[writer] = {std::move(record), host, m_now + m_timing.adoptCopy};
+            m_copies[writer] = {std::move(record), host, m_now + m_timing.adoptCopyAfter};
         }
         return true;
     }
@@ -224,7 +224,7 @@
             return;
         found->second.writing = true;
         found->second.retryAt = m_now + m_timing.retry;
-        m_router.route(found->second.record, [self = shared_from_this(), writer](const append_reply &reply) {
+        m_router.route(found->second.record, [self = shared_from_this(), writer](const append_outcome &reply) {
             const auto position = self->m_copies.find(writer);
             if (self->m_closed || position == self->m_copies.end())
                 return;
@@ -278,8 +278,8 @@
     record.promptTokens = request.promptTokens;
     record.completionTokens = request.completionTokens;
     record.costMicroUnits = request.costMicroUnits;
-    if (request.answer.size() <= ledger_record::kStoredAnswerBytes)
-        record.answer = request.answer;
+    if (request.answer.size() <= ledger_record::kMaxStoredResponseBytes)
+        record.response = request.answer;
     m_impl->addBill(std::move(record), std::move(done));
 }
 
@@ -290,7 +290,7 @@
     m_impl->m_router.route(std::move(record), std::move(done));
 }
 
-void ledger_service::serveAppend(std::uint32_t segment, std::string_view batch, ledger_peers::append_replies done)
+void ledger_service::serveAppend(std::uint32_t segment, std::string_view batch, ledger_peers::append_batch_done done)
 {
     auto records = decodeRecords(batch);
     if (records.has_error())
@@ -302,9 +302,9 @@
     if (count == 0 || std::ranges::any_of(records.value().records, isOther))
         return done(error{error_code::unavailable, "segment"});
     struct gathering {
-        std::vector<append_reply> replies;
+        std::vector<append_outcome> replies;
         std::size_t missing = 0;
-        ledger_peers::append_replies done;
+        ledger_peers::append_batch_done done;
     };
     auto state = std::make_shared<gathering>();
     state->missing = records.value().records.size();
@@ -313,7 +313,7 @@
     if (state->missing == 0)
         return state->done(state->replies);
     for (std::size_t i = 0; i < state->replies.size(); ++i) {
-        m_impl->m_router.appendHere(std::move(records.value().records[i]), [state, i](append_reply reply) {
+        m_impl->m_router.appendLocally(std::move(records.value().records[i]), [state, i](append_outcome reply) {
             state->replies[i] = std::move(reply);
             if (--state->missing == 0)
                 state->done(state->replies);
@@ -372,7 +372,7 @@
     return m_impl->m_bills.size();
 }
 
-std::size_t ledger_service::unsecuredBills() const
+std::size_t ledger_service::uncopiedBills() const
 {
     return static_cast<std::size_t>(
         std::ranges::count_if(m_impl->m_bills, [](const auto &entry) { return entry.second.holder.empty(); }));
--- a/src/ledger_service_p.h
+++ b/src/ledger_service_p.h
@@ -14,13 +14,13 @@
 class ledger_peers
 {
 public:
-    using append_replies = std::function<void(result<std::vector<append_reply>>)>;
+    using append_batch_done = std::function<void(result<std::vector<append_outcome>>)>;
     using copy_done = std::function<void(result<bool>)>;
 
     virtual ~ledger_peers() = default;
 
     /// Sends records to the owner of their segment. @param batch as encodeRecords() gives it.
-    virtual void append(const std::string &host, std::uint32_t segment, std::string batch, append_replies done) = 0;
+    virtual void append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done) = 0;
 
     /// Gives copies of unwritten bills to a host, or takes them back. @param release writers of the records.
     virtual void copyBills(const std::string &host, std::string batch, std::vector<std::string> release,
@@ -32,11 +32,11 @@
     std::chrono::microseconds copyAfter{50000}; ///< a bill is copied when the store has not taken it by then
     /// A bill that is neither written nor copied by then is answered as unknown. Covers the time in which a dead owner
     /// is found and the segment is written directly.
-    std::chrono::microseconds billGiveUp{5000000};
+    std::chrono::microseconds billTimeout{5000000};
     std::chrono::microseconds suspect{2000000}; ///< a host that did not answer is left out for this long
     std::chrono::microseconds retry{250000}; ///< between tries to write a kept bill or pin
     /// A copy is written by its holder after this long without a release; the host it came from usually does it first.
-    std::chrono::microseconds adoptCopy{5000000};
+    std::chrono::microseconds adoptCopyAfter{5000000};
     ledger_timing segment;
 };
 
@@ -62,7 +62,7 @@
     void pin(const write_pin &request, append_done done);
 
     /// Serves Append of another host.
-    void serveAppend(std::uint32_t segment, std::string_view batch, ledger_peers::append_replies done);
+    void serveAppend(std::uint32_t segment, std::string_view batch, ledger_peers::append_batch_done done);
 
     /// Serves CopyBills of another host. @returns whether the copies are kept.
     bool serveCopies(const std::string &host, std::string_view batch, const std::vector<std::string> &release);
@@ -77,7 +77,7 @@
     /// @returns bills of this host that are not in the log yet.
     [[nodiscard]] std::size_t unwrittenBills() const;
     /// @returns bills that would be lost with this host.
-    [[nodiscard]] std::size_t unsecuredBills() const;
+    [[nodiscard]] std::size_t uncopiedBills() const;
     /// @returns copies of other hosts' bills.
     [[nodiscard]] std::size_t keptCopies() const;
     /// @returns pins made in memory during an outage.
--- a/src/relay_ledger.cpp
+++ b/src/relay_ledger.cpp
@@ -17,7 +17,7 @@
     return std::chrono::duration_cast<std::chrono::seconds>(time).count();
 }
 
-append_response encodeReplies(const result<std::vector<append_reply>> &replies)
+append_response encodeReplies(const result<std::vector<append_outcome>> &replies)
 {
     // A failure is an answer without outcomes; the caller then reads the log.
     append_response response;
@@ -26,19 +26,19 @@
     for (const auto &reply : replies.value()) {
         auto *outcome = response.add_outcomes();
         outcome->set_status(static_cast<std::uint32_t>(reply.status));
-        outcome->set_answer(reply.answer);
+        outcome->set_answer(reply.response);
         for (const auto &pin : reply.pins)
             outcome->add_pins(pin);
     }
     return response;
 }
 
-result<std::vector<append_reply>> decodeReplies(const append_response &response)
+result<std::vector<append_outcome>> decodeReplies(const append_response &response)
 {
     const error failure{error_code::protocol_violation, "append"};
     if (response.outcomes().empty())
         return failure;
-    std::vector<append_reply> replies;
+    std::vector<append_outcome> replies;
     for (const auto &outcome : response.outcomes()) {
         if (outcome.status() >= static_cast<std::uint32_t>(ledger_status::count))
             return failure;
@@ -68,7 +68,7 @@
                 [this](const append_request &request, const peer_reply<append_response> &reply) {
                     m_service.serveAppend(
                         request.segment(), request.batch(),
-                        [reply](const result<std::vector<append_reply>> &replies) { reply(encodeReplies(replies)); });
+                        [reply](const result<std::vector<append_outcome>> &replies) { reply(encodeReplies(replies)); });
                     schedule();
                 },
             .copyBills =
@@ -84,12 +84,12 @@
 append_done relay_ledger::replyTo(request_token request, ledger_step step)
 {
     ++m_open;
-    return [this, request, step](append_reply reply) {
+    return [this, request, step](append_outcome reply) {
         --m_open;
         m_deliver(ledger_response{.request = request,
                                   .step = step,
                                   .status = reply.status,
-                                  .answer = std::move(reply.answer),
+                                  .answer = std::move(reply.response),
                                   .pins = std::move(reply.pins)});
     };
 }
@@ -114,7 +114,7 @@
 
 bool relay_ledger::isIdle() const
 {
-    return m_open == 0 && m_service.unsecuredBills() == 0;
+    return m_open == 0 && m_service.uncopiedBills() == 0;
 }
 
 void relay_ledger::onConfig(const fleet_ptr &config)
@@ -151,7 +151,7 @@
     m_service.setGone(std::move(gone));
 }
 
-void relay_ledger::append(const std::string &host, std::uint32_t segment, std::string batch, append_replies done)
+void relay_ledger::append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done)
 {
     const auto endpoint = m_relay->endpointOf(host);
     if (!endpoint)
--- a/src/relay_ledger_p.h
+++ b/src/relay_ledger_p.h
@@ -25,7 +25,7 @@
     void onDrain() override;
 
 private:
-    void append(const std::string &host, std::uint32_t segment, std::string batch, append_replies done) override;
+    void append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done) override;
     void copyBills(const std::string &host, std::string batch, std::vector<std::string> release,
                    copy_done done) override;
     [[nodiscard]] relay_task::ledger_handlers makeHandlers();
--- a/src/router_core_completion.cpp
+++ b/src/router_core_completion.cpp
@@ -12,7 +12,7 @@
 /// The ledger answers a bill within tens of milliseconds; a reply that is later than this is lost.
 constexpr std::chrono::seconds kBillTimeout{2};
 constexpr std::chrono::seconds kRatingTimeout{2}; ///< then the rating service counts as down
-constexpr std::size_t kStoredAnswerBytes = 2048; ///< most that the ledger keeps of an answer
+constexpr std::size_t kMaxStoredResponseBytes = 2048; ///< most that the ledger keeps of an answer
 constexpr std::size_t kUnsentClaimsLimit = 1024; ///< bounds the memory of unsent claims
 
 std::string storedForm(const attempt_response &answer, std::uint64_t costMicroUnits)
@@ -24,7 +24,7 @@
                               {"completion_tokens", answer.completionTokens},
                               {"cost_micro_units", costMicroUnits}};
     auto text = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    return text.size() <= kStoredAnswerBytes ? text : std::string{};
+    return text.size() <= kMaxStoredResponseBytes ? text : std::string{};
 }
 
 } // namespace
--- a/tests/ledger_fakes.h
+++ b/tests/ledger_fakes.h
@@ -59,12 +59,12 @@
 };
 
 /// What goes wrong, each in 1 of 1000 calls.
-struct fault_mix {
-    std::uint64_t lostAnswer = 0; ///< takes effect, answer is lost
+struct fault_rates {
+    std::uint64_t lostResponse = 0; ///< takes effect, answer is lost
     std::uint64_t lostCall = 0; ///< has no effect, answer is lost
     std::uint64_t delayed = 0; ///< answered timed_out; takes effect long afterwards
     std::uint64_t refused = 0; ///< unavailable
-    std::uint64_t slowUs = 20000; ///< bound of a delayed effect
+    std::uint64_t maxDelayUs = 20000; ///< bound of a delayed effect
 };
 
 /// The platform's objects, and the history of batches for comparison.
@@ -126,10 +126,10 @@
 };
 
 /// One host: runs its events in order, not while it is paused, and not after it was killed.
-class paused_host
+class pausable_host
 {
 public:
-    explicit paused_host(simulation &sim)
+    explicit pausable_host(simulation &sim)
         : m_sim(sim)
         , m_alive(std::make_shared<bool>(true))
     {
@@ -160,7 +160,7 @@
 class faulty_store : public object_store
 {
 public:
-    faulty_store(simulation &sim, shared_store &store, paused_host &host, const fault_mix &faults)
+    faulty_store(simulation &sim, shared_store &store, pausable_host &host, const fault_rates &faults)
         : m_sim(sim)
         , m_store(store)
         , m_host(host)
@@ -205,11 +205,11 @@
             return fail(there + back, error_code::unavailable);
         if (m_sim.chance(m_faults.lostCall))
             return fail(there + back, error_code::timed_out);
-        const bool isLost = m_sim.chance(m_faults.lostAnswer);
+        const bool isLost = m_sim.chance(m_faults.lostResponse);
         const bool isDelayed = m_sim.chance(m_faults.delayed);
         if (isLost || isDelayed)
             fail(there + back, isLost ? error_code::io_failure : error_code::timed_out);
-        const auto late = isDelayed ? instant(m_sim.below(m_faults.slowUs)) : instant{};
+        const auto late = isDelayed ? instant(m_sim.below(m_faults.maxDelayUs)) : instant{};
         m_sim.after(there + late, [this, &host = m_host, &store = m_store, effect, done, back, isLost, isDelayed] {
             if (store.isDown) {
                 if (!isLost && !isDelayed)
@@ -224,8 +224,8 @@
 
     simulation &m_sim;
     shared_store &m_store;
-    paused_host &m_host;
-    const fault_mix &m_faults;
+    pausable_host &m_host;
+    const fault_rates &m_faults;
 };
 
 /// Writers of the records that count, by type, account and id.
--- a/tests/measure_ledger.cpp
+++ b/tests/measure_ledger.cpp
@@ -28,7 +28,7 @@
         , m_hosts(hosts)
     {
     }
-    void append(const std::string &host, std::uint32_t segment, std::string batch, append_replies done) override;
+    void append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done) override;
     void copyBills(const std::string &, std::string, std::vector<std::string>, copy_done done) override { done(true); }
 
 private:
@@ -38,7 +38,7 @@
 };
 
 struct measured_host {
-    measured_host(simulation &sim, shared_store &objects, const fault_mix &faults, const std::string &name,
+    measured_host(simulation &sim, shared_store &objects, const fault_rates &faults, const std::string &name,
                   measured_hosts &hosts)
         : process(sim)
         , store(sim, objects, process, faults)
@@ -53,7 +53,7 @@
         service.tick(m_sim.now(), kUnixSeconds);
         process.deliver(500us, [this] { tick(); });
     }
-    paused_host process;
+    pausable_host process;
     faulty_store store;
     direct_peers peers;
     ledger_service service;
@@ -62,7 +62,7 @@
     simulation &m_sim;
 };
 
-void direct_peers::append(const std::string &host, std::uint32_t segment, std::string batch, append_replies done)
+void direct_peers::append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done)
 {
     auto &target = *m_hosts.at(host);
     target.process.deliver(oneWay(), [this, &target, segment, batch = std::move(batch), done = std::move(done)] {
@@ -85,7 +85,7 @@
 {
     simulation sim(11);
     shared_store store;
-    const fault_mix faults;
+    const fault_rates faults;
     measured_hosts hosts;
     std::vector<std::string> names;
     for (std::size_t i = 0; i < kHosts; ++i) {
@@ -105,10 +105,11 @@
         auto &service = hosts.at(names[sim.below(kHosts)])->service;
         const auto id = std::to_string(kUnixSeconds) + "-" + std::to_string(number);
         const auto begun = sim.now();
-        service.claim({{}, "studio-legale", id}, [&, id, begun](const append_reply &reply) {
+        service.claim({{}, "studio-legale", id}, [&, id, begun](const append_outcome &reply) {
             refused += reply.status != ledger_status::written;
             waits.push_back(sim.now() - begun);
-            service.bill({{}, "studio-legale", id, "grand", "grand-2", 100, 200, 300, {}}, [](const append_reply &) {});
+            service.bill({{}, "studio-legale", id, "grand", "grand-2", 100, 200, 300, {}},
+                         [](const append_outcome &) {});
         });
     };
     for (std::uint64_t number = 0; number < requests; ++number)
@@ -159,7 +160,7 @@
     record.promptTokens = 700;
     record.completionTokens = 250;
     record.costMicroUnits = 1234;
-    record.answer = std::string(answerBytes, 'a');
+    record.response = std::string(answerBytes, 'a');
     return record;
 }
 
@@ -191,7 +192,7 @@
     constexpr std::size_t kBatch = 20;
     for (std::size_t i = 0; i < records; i += kBatch) {
         for (std::size_t j = 0; j < kBatch; ++j)
-            segment.append(makeBill(i + j, 0), [](const append_reply &) {});
+            segment.append(makeBill(i + j, 0), [](const append_outcome &) {});
         segment.tick(instant(i * 1000), kUnixSeconds);
     }
     return processorSeconds() - begun;
--- a/tests/test_ledger_segment.cpp
+++ b/tests/test_ledger_segment.cpp
@@ -24,7 +24,7 @@
     record.writer = std::move(writer);
     record.unixSeconds = kUnixSeconds;
     if (type == record_type::bill)
-        record.answer = R"({"text":")" + record.writer + R"("})";
+        record.response = R"({"text":")" + record.writer + R"("})";
     if (type == record_type::pin)
         record.pins = {"version-" + record.writer};
     return record;
@@ -32,14 +32,14 @@
 
 struct sent_record {
     ledger_record record;
-    std::optional<append_reply> reply;
+    std::optional<append_outcome> reply;
 };
 
 /// A segment on one host, ticked each millisecond.
 class segment_host
 {
 public:
-    segment_host(simulation &sim, shared_store &store, const fault_mix &faults, int number, ledger_timing timing)
+    segment_host(simulation &sim, shared_store &store, const fault_rates &faults, int number, ledger_timing timing)
         : m_host(sim)
         , m_store(sim, store, m_host, faults)
         , m_sim(sim)
@@ -51,7 +51,7 @@
     void send(const std::shared_ptr<sent_record> &sent)
     {
         m_host.deliver(0us, [this, sent] {
-            m_segment.append(sent->record, [sent](append_reply reply) {
+            m_segment.append(sent->record, [sent](append_outcome reply) {
                 REQUIRE_FALSE(sent->reply.has_value()); // each append is answered once
                 sent->reply = std::move(reply);
             });
@@ -68,7 +68,7 @@
         m_host.deliver(1ms, [this] { tick(); });
     }
 
-    paused_host m_host;
+    pausable_host m_host;
     faulty_store m_store;
     simulation &m_sim;
     ledger_segment m_segment;
@@ -77,11 +77,11 @@
 struct scenario {
     std::uint64_t seed = 0;
     std::size_t writers = 2;
-    fault_mix faults;
+    fault_rates faults;
     std::uint64_t pausePermille = 0; ///< per step
     std::uint64_t outagePermille = 0;
     std::size_t steps = 250;
-    instant settle = 30ms;
+    instant appendTimeout = 30ms;
 };
 
 /// Runs writers over a few keys and checks the replies against the log.
@@ -94,7 +94,7 @@
         , m_faults(plan.faults)
     {
         ledger_timing timing;
-        timing.settle = plan.settle;
+        timing.appendTimeout = plan.appendTimeout;
         timing.retry = 5ms;
         timing.writePeriod = 0us;
         timing.snapshotBatches = 4;
@@ -193,7 +193,7 @@
 private:
     scenario m_plan;
     simulation m_sim;
-    fault_mix m_faults;
+    fault_rates m_faults;
     shared_store m_store;
     std::vector<std::unique_ptr<segment_host>> m_hosts;
     std::vector<std::shared_ptr<sent_record>> m_sent;
@@ -294,7 +294,7 @@
 struct stale_segment {
     scripted_store store;
     ledger_segment segment{store, 0, "stale", 1h};
-    std::optional<append_reply> reply;
+    std::optional<append_outcome> reply;
 
     stale_segment()
     {
@@ -303,7 +303,7 @@
     }
     void append(const ledger_record &record)
     {
-        segment.append(record, [this](append_reply given) { reply = std::move(given); });
+        segment.append(record, [this](append_outcome given) { reply = std::move(given); });
         segment.tick(10ms, kUnixSeconds);
     }
 };
@@ -318,7 +318,7 @@
     for (int ms = 0; ms < 10000; ++ms) {
         segment.tick(instant(ms * 1000), kUnixSeconds);
         segment.append(makeRecord(record_type::claim, std::to_string(ms), "w" + std::to_string(ms)),
-                       [&](const append_reply &reply) { written += reply.status == ledger_status::written ? 1 : 0; });
+                       [&](const append_outcome &reply) { written += reply.status == ledger_status::written ? 1 : 0; });
     }
     segment.tick(11s, kUnixSeconds);
     CHECK(written >= 9900);
--- a/tests/test_ledger_service.cpp
+++ b/tests/test_ledger_service.cpp
@@ -33,7 +33,7 @@
 class fake_peers : public ledger_peers
 {
 public:
-    fake_peers(simulation &sim, paused_host &self, std::string name, host_table &hosts,
+    fake_peers(simulation &sim, pausable_host &self, std::string name, host_table &hosts,
                const std::uint64_t &lossPermille)
         : m_sim(sim)
         , m_self(self)
@@ -43,7 +43,7 @@
     {
     }
 
-    void append(const std::string &host, std::uint32_t segment, std::string batch, append_replies done) override;
+    void append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done) override;
     void copyBills(const std::string &host, std::string batch, std::vector<std::string> release,
                    copy_done done) override;
 
@@ -72,14 +72,14 @@
     void deliver(const std::string &host, std::function<void(ledger_host &)> call);
 
     simulation &m_sim;
-    paused_host &m_self;
+    pausable_host &m_self;
     std::string m_name;
     host_table &m_hosts;
     const std::uint64_t &m_lossPermille;
 };
 
 struct ledger_host {
-    ledger_host(simulation &sim, shared_store &objects, const fault_mix &faults, const std::string &name,
+    ledger_host(simulation &sim, shared_store &objects, const fault_rates &faults, const std::string &name,
                 host_table &hosts, const std::uint64_t &lossPermille)
         : process(sim)
         , store(sim, objects, process, faults)
@@ -96,8 +96,8 @@
         timing.copyAfter = 20ms;
         timing.suspect = 100ms;
         timing.retry = 50ms;
-        timing.adoptCopy = 300ms;
-        timing.segment.settle = 40ms;
+        timing.adoptCopyAfter = 300ms;
+        timing.segment.appendTimeout = 40ms;
         timing.segment.retry = 10ms;
         timing.segment.writePeriod = 0us;
         timing.segment.snapshotBatches = 8;
@@ -110,7 +110,7 @@
         process.deliver(1ms, [this] { tick(); });
     }
 
-    paused_host process;
+    pausable_host process;
     faulty_store store;
     fake_peers peers;
     ledger_service service;
@@ -126,9 +126,9 @@
         target.process.deliver(instant(200 + m_sim.below(800)), [&target, call = std::move(call)] { call(target); });
 }
 
-void fake_peers::append(const std::string &host, std::uint32_t segment, std::string batch, append_replies done)
+void fake_peers::append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done)
 {
-    auto reply = withTimeout<result<std::vector<append_reply>>>(std::move(done));
+    auto reply = withTimeout<result<std::vector<append_outcome>>>(std::move(done));
     deliver(host, [segment, batch = std::move(batch), reply](ledger_host &target) {
         target.service.serveAppend(segment, batch, reply);
     });
@@ -146,7 +146,7 @@
     record_type type = record_type::claim;
     std::string id;
     std::string host;
-    std::optional<append_reply> reply;
+    std::optional<append_outcome> reply;
 };
 
 /// Several hosts with one store.
@@ -172,7 +172,7 @@
         call->host = "host" + std::to_string(number);
         auto &target = host(number);
         target.process.deliver(0us, [&target, call] {
-            const auto done = [call](append_reply reply) {
+            const auto done = [call](append_outcome reply) {
                 REQUIRE_FALSE(call->reply.has_value());
                 call->reply = std::move(reply);
             };
@@ -202,7 +202,7 @@
 
     simulation sim;
     shared_store store;
-    fault_mix faults;
+    fault_rates faults;
     std::uint64_t lossPermille = 0;
     host_table hosts;
 };
@@ -306,7 +306,7 @@
     CHECK(bill->reply->status == ledger_status::copied);
     REQUIRE(claim->reply.has_value());
     CHECK(claim->reply->status == ledger_status::unavailable);
-    CHECK(cluster.host(0).service.unsecuredBills() == 0);
+    CHECK(cluster.host(0).service.uncopiedBills() == 0);
     CHECK(cluster.host(2).service.keptCopies() == 0); // host2 is in the failure domain of host0
     CHECK(cluster.host(1).service.keptCopies() + cluster.host(3).service.keptCopies() == 1);
     cluster.killHost(0);
