--- a/src/router_core_completion.cpp
+++ b/src/router_core_completion.cpp
@@ -12,7 +12,7 @@
 /// The ledger acknowledges a bill within tens of milliseconds; a later response than this counts as lost.
 constexpr std::chrono::seconds kBillTimeout{2};
 constexpr std::chrono::seconds kRatingTimeout{2}; ///< after this the rating service counts as unavailable
-constexpr std::size_t kStoredResponseBytes = 2048; ///< longer responses are not stored in the ledger
+constexpr std::size_t kMaxStoredResponseBytes = 2048; ///< longer responses are not stored in the ledger
 constexpr std::size_t kUnsentClaimsLimit = 1024; ///< bounds the memory that m_unsentClaims uses
 
 std::string toStoredJson(const attempt_response &response, std::uint64_t costMicroUnits)
@@ -24,7 +24,7 @@
                               {"completion_tokens", response.completionTokens},
                               {"cost_micro_units", costMicroUnits}};
     auto text = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    return text.size() <= kStoredResponseBytes ? text : std::string{};
+    return text.size() <= kMaxStoredResponseBytes ? text : std::string{};
 }
 
 } // namespace
