--- a/src/ledger.cpp
+++ b/src/ledger.cpp
@@ -1,4 +1,4 @@
-// One segment of the request ledger: loads the log, writes batches at the next index, and answers appends; see
+// One segment of the request ledger: loads the log, writes batches at the next index, and completes appends; see
 // ledger_p.h and section 6 of docs/design.md.
 #include "ledger_index_p.h"
 
@@ -11,10 +11,10 @@
 namespace
 {
 
-/// After this many lost races in a row the log is read to its end instead of trying one index after the other.
-constexpr int kRacesBeforeCatchUp = 2;
+/// After this many consecutive lost races the log is read to its end, instead of trying index after index.
+constexpr int kMaxLostRaces = 2;
 
-/// Smallest pause that nextTick() asks for, so that a caller's timer can't spin.
+/// Minimum delay returned by nextTick(), so that the caller's timer does not spin.
 constexpr std::chrono::microseconds kMinTickUs{1000};
 
 bool mayHaveWritten(const error &failure)
@@ -25,24 +25,24 @@
 } // namespace
 
 struct ledger_segment::implementation : std::enable_shared_from_this<implementation> {
-    /// What the next call of the store is for.
+    /// Purpose of the next store call.
     enum class step : std::uint8_t {
-        head, ///< read the snapshot's head
-        part, ///< read the snapshot's parts
+        head, ///< read the snapshot head
+        part, ///< read the snapshot parts
         log, ///< read batches up to the end of the log
-        verify, ///< read the floor: did what was read or written still count?
+        verify, ///< read the floor to check that the batches read or written are part of the log
         ready, ///< nothing pending; the next batch may be formed
         write, ///< create the batch at m_nextIndex
-        settle, ///< read m_nextIndex to learn whose batch it holds
+        settle, ///< read m_nextIndex to find out whose batch is there
     };
 
     struct waiting_record {
         ledger_record record;
         std::string encoded;
-        append_done done; ///< empty once answered
+        append_done done; ///< empty once completed
         instant since{};
-        bool refreshed = false; ///< the log was read to its end after this claim met an open one
-        bool maybeWritten = false; ///< an earlier batch with it may count; cleared once the log was verified
+        bool logRefreshed = false; ///< the log was read to its end since this claim found an open one
+        bool maybeWritten = false; ///< an earlier batch with it may be in the log; cleared when the log is verified
     };
 
     implementation(object_store &store, std::uint32_t number, std::string writer, std::chrono::seconds retention,
@@ -67,35 +67,36 @@
     ledger_compaction m_compaction;
 
     step m_step = step::head;
-    bool m_busy = false; ///< a call of the store is in flight
+    bool m_busy = false; ///< a store call is in flight
     bool m_running = false; ///< inside run()
-    bool m_closed = false; ///< the segment is gone
+    bool m_closed = false; ///< the ledger_segment was destroyed
     bool m_loaded = false; ///< the index was read up to the end of the log and verified
-    bool m_wanted = false; ///< load without waiting for a record
-    bool m_outage = false; ///< the last call was refused
+    bool m_loadRequested = false; ///< load() was called: read the log without a queued record
+    bool m_outage = false; ///< the store refused the last call
     instant m_now{};
     instant m_retryAt{};
     std::int64_t m_unixSeconds = 0;
 
-    snapshot_head m_head; ///< the snapshot that the index was built from, or a later one that it covers
+    snapshot_head m_head; ///< the snapshot that the index was built from, or a later one within the index
     object_version m_headVersion = 0;
     std::size_t m_nextPart = 0; ///< while loading
     log_index m_nextIndex = 0; ///< the log is known up to here
-    std::optional<log_index> m_unverifiedFrom; ///< first batch taken from a read since the floor was last read
-    std::deque<unsnapshotted_record> m_unsnapshot; ///< effective records at and after m_head.index, in log order
+    std::optional<log_index> m_unverifiedFrom; ///< first batch applied from a read since the last read of the floor
+    std::deque<unsnapshotted_record> m_unsnapshotted; ///< effective records at and after m_head.index, in log order
     std::map<log_index, object_version> m_batchVersions; ///< batch objects at and after m_head.index
 
     std::deque<waiting_record> m_queue;
-    std::vector<waiting_record> m_batch; ///< in flight or unsettled; at most one batch at a time
+    std::vector<waiting_record> m_batch; ///< in flight or with unknown result; at most one batch at a time
     std::string m_batchId;
     std::string m_batchBody;
     std::uint64_t m_batchCounter = 0;
     object_version m_batchVersion = 0;
-    bool m_uncertain = false; ///< m_batch may be in the log
-    int m_lostRaces = 0; ///< in a row
-    instant m_paidUntil{}; ///< end of the period that the last batches use up at the pace of writePeriod
+    bool m_batchMaybeWritten = false; ///< m_batch may be in the log
+    int m_lostRaces = 0; ///< consecutive
+    instant m_paceUntil{}; ///< end of the time that the batches so far take up at one per writePeriod
 
-    std::vector<std::pair<append_done, append_outcome>> m_replies; ///< given at the end of the current entry
+    std::vector<std::pair<append_done, append_outcome>>
+        m_outcomes; ///< delivered when the current call from outside ends
 
     template <typename value_type>
     auto then(void (implementation::*next)(value_type))
@@ -107,27 +108,30 @@
                 return;
             (self.get()->*next)(std::move(value));
             self->run();
-            self->giveReplies();
+            self->deliverOutcomes();
         };
     }
 
-    void answer(waiting_record &waiting, append_outcome reply)
+    void respond(waiting_record &waiting, append_outcome outcome)
     {
         if (waiting.done)
-            m_replies.emplace_back(std::exchange(waiting.done, nullptr), std::move(reply));
+            m_outcomes.emplace_back(std::exchange(waiting.done, nullptr), std::move(outcome));
     }
 
-    /// Callbacks may append again, so they run last.
-    void giveReplies()
+    /// Called last, since callbacks may call append().
+    void deliverOutcomes()
     {
-        const auto replies = std::exchange(m_replies, {});
-        for (const auto &[done, reply] : replies)
-            done(reply);
+        const auto outcomes = std::exchange(m_outcomes, {});
+        for (const auto &[done, outcome] : outcomes)
+            done(outcome);
     }
 
-    [[nodiscard]] bool hasWork() const { return !m_queue.empty() || !m_batch.empty() || (m_wanted && !m_loaded); }
+    [[nodiscard]] bool hasWork() const
+    {
+        return !m_queue.empty() || !m_batch.empty() || (m_loadRequested && !m_loaded);
+    }
 
-    /// Starts calls until one is in flight or nothing is due. A loop, as a store may answer within the call.
+    /// Starts store calls until one is in flight or nothing is due. A loop, because a store may respond synchronously.
     void run()
     {
         if (m_running)
@@ -137,7 +141,7 @@
         m_running = false;
     }
 
-    /// @returns whether a step was taken.
+    /// @returns whether a call was started or the step changed.
     bool startCall()
     {
         switch (m_step) {
@@ -166,8 +170,8 @@
         return false;
     }
 
-    /// Waits before the next call. Where the store has refused, waiting records are answered at once: a caller is
-    /// refused faster than the outage ends.
+    /// Delays the next store call. If the store refused the call, queued records are rejected at once, since an outage
+    /// usually lasts longer than a caller should wait.
     void backOff(const error &failure)
     {
         m_retryAt = m_now + m_timing.retry;
@@ -175,28 +179,28 @@
         if (!m_outage)
             return;
         for (auto &waiting : m_queue)
-            refuse(waiting);
+            rejectQueued(waiting);
         m_queue.clear();
     }
 
-    /// Answers a queued record that is given up.
-    void refuse(waiting_record &waiting)
+    /// Completes a queued record that will not be written.
+    void rejectQueued(waiting_record &waiting)
     {
-        const auto reply = m_index.find(waiting.record);
+        const auto outcome = m_index.find(waiting.record);
         const bool isVerified = m_loaded && !m_unverifiedFrom;
-        if (waiting.maybeWritten || (reply && !isVerified))
-            return answer(waiting, {ledger_status::unknown, {}, {}});
-        answer(waiting, reply.value_or(append_outcome{}));
+        if (waiting.maybeWritten || (outcome && !isVerified))
+            return respond(waiting, {ledger_status::unknown, {}, {}});
+        respond(waiting, outcome.value_or(append_outcome{}));
     }
 
     // Loading.
 
-    /// Forgets the log and reads it again from the snapshot.
+    /// Discards the index and reads the log again from the snapshot.
     void reset()
     {
         requeueBatch();
         m_index.clear();
-        m_unsnapshot.clear();
+        m_unsnapshotted.clear();
         m_batchVersions.clear();
         m_unverifiedFrom.reset();
         m_loaded = false;
@@ -237,7 +241,7 @@
         if (found.has_error() && found.error().code != error_code::not_found)
             return backOff(found.error());
         m_outage = false;
-        if (found.has_error()) { // a later snapshot has dropped it
+        if (found.has_error()) { // removed by a later snapshot
             m_step = step::head;
             return;
         }
@@ -256,7 +260,7 @@
             const auto batch = decodeRecords(found.value().body);
             if (batch.has_error())
                 return backOff({error_code::unavailable, "batch"});
-            return fold(batch.value(), found.value().version);
+            return applyBatch(batch.value(), found.value().version);
         }
         if (found.error().code != error_code::not_found)
             return backOff(found.error());
@@ -266,8 +270,8 @@
         m_step = step::verify;
     }
 
-    /// Takes the batch of another writer, or one of this writer after a reset, at m_nextIndex.
-    void fold(const decoded_batch &batch, object_version version)
+    /// Applies the batch at m_nextIndex, written by another writer or by this one before a reset.
+    void applyBatch(const decoded_batch &batch, object_version version)
     {
         if (!m_unverifiedFrom)
             m_unverifiedFrom = m_nextIndex;
@@ -281,14 +285,14 @@
     {
         if (!m_index.apply(record))
             return false;
-        m_unsnapshot.push_back(
+        m_unsnapshotted.push_back(
             {m_nextIndex, m_index.expiryOf(record), encoded != nullptr ? *encoded : encodeRecord(record)});
         return true;
     }
 
-    /// The floor rises before objects below it are deleted. A floor read after a batch was read or created that is not
-    /// above the batch's index shows that this index had not been deleted, so the batch is the only one that was ever
-    /// there.
+    /// The floor is raised before objects below it are deleted. So if the floor, read after a batch was read or
+    /// created, is not above the batch's index, no earlier batch at this index was deleted, and this batch is part of
+    /// the log.
     void onFloor(result<stored_object> found)
     {
         if (found.has_error() && found.error().code != error_code::not_found)
@@ -303,9 +307,9 @@
         m_step = step::ready;
         m_loaded = true;
         for (auto &waiting : m_queue)
-            waiting.maybeWritten = false; // it would be in the index
+            waiting.maybeWritten = false; // an earlier batch with it would be in the index
         if (!m_batch.empty())
-            landBatch();
+            completeBatch();
     }
 
     // Batches.
@@ -313,7 +317,7 @@
     /// @returns whether a batch or a read was started.
     bool startBatch()
     {
-        if (m_queue.empty() || m_now < dueAt())
+        if (m_queue.empty() || m_now < nextBatchTime())
             return false;
         if (m_unverifiedFrom) {
             m_step = step::verify;
@@ -326,89 +330,89 @@
         fillBatch();
         if (m_batch.empty())
             return false;
-        m_paidUntil = std::max(m_paidUntil, m_now) + m_timing.writePeriod;
+        m_paceUntil = std::max(m_paceUntil, m_now) + m_timing.writePeriod;
         m_batchId = m_writer + "-" + std::to_string(++m_batchCounter);
         std::vector<std::string> encoded(m_batch.size());
         std::ranges::transform(m_batch, encoded.begin(), &waiting_record::encoded);
         m_batchBody = joinBatch(m_batchId, encoded);
-        m_uncertain = false;
+        m_batchMaybeWritten = false;
         m_step = step::write;
         return true;
     }
 
-    /// The first record's linger, or the pace where the last batches came too fast.
-    [[nodiscard]] instant dueAt() const
+    /// End of the first record's linger, or later if the write rate limit is reached.
+    [[nodiscard]] instant nextBatchTime() const
     {
         return std::max(m_queue.front().since + m_timing.linger,
-                        m_paidUntil - m_timing.writePeriod * m_timing.writeBurst);
+                        m_paceUntil - m_timing.writePeriod * m_timing.writeBurst);
     }
 
-    /// A claim that meets an open claim may have been billed by another host meanwhile.
-    /// @returns whether the log has to be read before such claims are answered.
+    /// An open claim in the index may have been billed by another host in the meantime.
+    /// @returns whether the log must be read before claims of such keys are completed.
     bool refreshOpenClaims()
     {
         bool isNeeded = false;
         for (auto &waiting : m_queue) {
-            const auto reply = m_index.find(waiting.record);
-            isNeeded = isNeeded || (!waiting.refreshed && reply && reply->status == ledger_status::exists_open);
+            const auto outcome = m_index.find(waiting.record);
+            isNeeded = isNeeded || (!waiting.logRefreshed && outcome && outcome->status == ledger_status::exists_open);
         }
         for (auto &waiting : m_queue)
-            waiting.refreshed = waiting.refreshed || isNeeded;
+            waiting.logRefreshed = waiting.logRefreshed || isNeeded;
         return isNeeded;
     }
 
-    /// Moves records from the queue to the batch, as many as fit. Records whose key has one already are answered; a
-    /// second one of a key in the batch waits until the first is in the log.
+    /// Moves as many records as fit from the queue to the batch. Records whose key is already in the index are
+    /// completed from it. A second record with a key of the batch stays queued until the first is in the log.
     void fillBatch()
     {
         std::set<std::tuple<record_type, std::string, std::string>> keys;
-        std::deque<waiting_record> left;
+        std::deque<waiting_record> remaining;
         std::size_t bytes = 0;
         for (auto &waiting : m_queue) {
-            if (const auto reply = m_index.find(waiting.record)) {
-                answer(waiting, *reply);
+            if (const auto outcome = m_index.find(waiting.record)) {
+                respond(waiting, *outcome);
                 if (!m_index.needsRenewal(waiting.record, m_unixSeconds))
                     continue;
-                waiting.record.pins = reply->pins;
+                waiting.record.pins = outcome->pins;
                 waiting.encoded = encodeRecord(waiting.record);
             }
             const auto &record = waiting.record;
-            const bool fits = left.empty() && bytes + waiting.encoded.size() < kMaxObjectBytes;
+            const bool fits = remaining.empty() && bytes + waiting.encoded.size() < kMaxObjectBytes;
             if (!fits || !keys.emplace(record.type, record.account, record.id).second) {
-                left.push_back(std::move(waiting));
+                remaining.push_back(std::move(waiting));
                 continue;
             }
             bytes += waiting.encoded.size() + 1;
             m_batch.push_back(std::move(waiting));
         }
-        m_queue = std::move(left);
+        m_queue = std::move(remaining);
     }
 
     void onWritten(result<object_version> written)
     {
         if (written.has_value()) {
             m_outage = false;
-            m_uncertain = true; // until the floor is read
+            m_batchMaybeWritten = true; // until the floor has been checked
             m_batchVersion = written.value();
             m_step = step::verify;
             return;
         }
         const auto &failure = written.error();
-        m_uncertain = m_uncertain || mayHaveWritten(failure);
+        m_batchMaybeWritten = m_batchMaybeWritten || mayHaveWritten(failure);
         if (failure.code == error_code::conflict || mayHaveWritten(failure))
             m_step = step::settle;
         if (failure.code == error_code::conflict)
             return;
-        if (!m_uncertain)
-            dropBatch();
+        if (!m_batchMaybeWritten)
+            failBatch();
         backOff(failure);
     }
 
-    /// The store has refused: nothing was written.
-    void dropBatch()
+    /// Fails the records of a batch that was certainly not written.
+    void failBatch()
     {
         for (auto &waiting : m_batch)
-            answer(waiting, {ledger_status::unavailable, {}, {}});
+            respond(waiting, {ledger_status::unavailable, {}, {}});
         m_batch.clear();
         m_step = step::ready;
     }
@@ -419,11 +423,12 @@
             return backOff(found.error());
         m_outage = false;
         if (found.has_error()) {
-            // Not written yet, but a delayed write may still take effect: only the same batch may be tried here.
-            if (m_uncertain)
+            // Not written yet, but a delayed write may still take effect: only the same batch may be retried at this
+            // index.
+            if (m_batchMaybeWritten)
                 m_step = step::write;
             else
-                reset(); // the winner of the race was deleted by a compaction
+                reset(); // a compaction has deleted the batch that won the race
             return;
         }
         const auto batch = decodeRecords(found.value().body);
@@ -431,39 +436,39 @@
             return backOff({error_code::unavailable, "batch"});
         if (batch.value().batchId == m_batchId) {
             m_batchVersion = found.value().version;
-            m_uncertain = true;
+            m_batchMaybeWritten = true;
             m_step = step::verify;
             return;
         }
         requeueBatch();
-        fold(batch.value(), found.value().version);
-        m_step = ++m_lostRaces < kRacesBeforeCatchUp ? step::ready : step::log;
+        applyBatch(batch.value(), found.value().version);
+        m_step = ++m_lostRaces < kMaxLostRaces ? step::ready : step::log;
     }
 
-    /// Puts records without an answer back in front of the queue. Those answered `unknown` are given up: their callers
-    /// were told, and bills are sent again by the service.
+    /// Moves uncompleted records back to the front of the queue. Records completed as `unknown` are dropped: their
+    /// callers have that result, and ledger_service retries bills.
     void requeueBatch()
     {
         for (auto waiting = m_batch.rbegin(); waiting != m_batch.rend(); ++waiting) {
             if (!waiting->done)
                 continue;
-            waiting->maybeWritten = m_uncertain;
+            waiting->maybeWritten = m_batchMaybeWritten;
             m_queue.push_front(std::move(*waiting));
         }
         m_batch.clear();
-        m_uncertain = false;
+        m_batchMaybeWritten = false;
     }
 
-    /// The batch is in the log at m_nextIndex.
-    void landBatch()
+    /// Completes the records of a batch that is in the log at m_nextIndex.
+    void completeBatch()
     {
         for (auto &waiting : m_batch) {
             const bool counts = applyRecord(waiting.record, &waiting.encoded);
-            answer(waiting, counts ? append_outcome{ledger_status::written, {}, {}} : *m_index.find(waiting.record));
+            respond(waiting, counts ? append_outcome{ledger_status::written, {}, {}} : *m_index.find(waiting.record));
         }
         m_batch.clear();
         m_batchVersions[m_nextIndex] = m_batchVersion;
-        m_uncertain = false;
+        m_batchMaybeWritten = false;
         m_lostRaces = 0;
         ++m_nextIndex;
         startSnapshot();
@@ -475,34 +480,34 @@
     {
         if (m_compaction.busy() || m_nextIndex - m_head.index < m_timing.snapshotBatches)
             return;
-        const std::vector<unsnapshotted_record> records(m_unsnapshot.begin(), m_unsnapshot.end());
+        const std::vector<unsnapshotted_record> records(m_unsnapshotted.begin(), m_unsnapshotted.end());
         std::vector<snapshot_head::part> replaced;
         for (const auto &[index, version] : m_batchVersions)
             replaced.push_back({batchKey(m_number, index), version, 0});
-        std::ranges::reverse(replaced); // deleted from the back: oldest first
+        std::ranges::reverse(replaced); // deleted from the back, so the oldest goes first
         m_compaction.start(m_head, m_headVersion, m_nextIndex, records, std::move(replaced), m_unixSeconds,
                            [weak = weak_from_this()](const snapshot_head &head, object_version version) {
                                if (const auto self = weak.lock())
-                                   self->takeHead(head, version);
+                                   self->adoptHead(head, version);
                            });
     }
 
-    /// A snapshot beyond the known log is not taken over: the next floor read leads to a reset. While the log is being
-    /// loaded m_head has to stay the head whose parts are read.
-    void takeHead(const snapshot_head &head, object_version version)
+    /// Ignores a snapshot beyond the known end of the log: the next read of the floor causes a reset. Also ignores
+    /// heads while the log is loading, when m_head must remain the head whose parts are being read.
+    void adoptHead(const snapshot_head &head, object_version version)
     {
         if (!m_loaded || head.index > m_nextIndex || head.index < m_head.index)
             return;
         m_head = head;
         m_headVersion = version;
-        std::erase_if(m_unsnapshot, [&](const auto &record) { return record.index < head.index; });
+        std::erase_if(m_unsnapshotted, [&](const auto &record) { return record.index < head.index; });
         m_batchVersions.erase(m_batchVersions.begin(), m_batchVersions.lower_bound(head.index));
     }
 
     // Deadlines.
 
-    /// Answers records that have waited too long. A claim in the queue was surely not written; one in the batch may
-    /// have been.
+    /// Completes records that reached the time limit. A record of the current batch may have been written; a queued one
+    /// only if an earlier batch contained it.
     void expire()
     {
         const auto isLate = [&](const waiting_record &waiting) {
@@ -510,11 +515,11 @@
         };
         for (auto &waiting : m_batch) {
             if (isLate(waiting))
-                answer(waiting, {ledger_status::unknown, {}, {}});
+                respond(waiting, {ledger_status::unknown, {}, {}});
         }
         for (auto &waiting : m_queue) {
             if (isLate(waiting))
-                refuse(waiting);
+                rejectQueued(waiting);
         }
         std::erase_if(m_queue, isLate);
     }
@@ -525,7 +530,7 @@
             return std::nullopt;
         auto next = std::max(m_now + kMinTickUs, m_retryAt);
         if (!m_queue.empty() && !m_busy && m_retryAt <= m_now)
-            next = std::max(next, dueAt());
+            next = std::max(next, nextBatchTime());
         return m_busy ? m_now + std::max(kMinTickUs, m_timing.linger) : next;
     }
 };
@@ -545,19 +550,19 @@
 {
     auto &state = *m_impl;
     if (record.response.size() > ledger_record::kMaxStoredResponseBytes)
-        record.response.clear(); // a cut JSON text is of no use to the caller
+        record.response.clear(); // truncated JSON is useless to the caller
     if (state.m_loaded && !state.m_unverifiedFrom) {
-        const auto reply = state.m_index.find(record);
-        const bool isFinal = reply && reply->status != ledger_status::exists_open;
+        const auto outcome = state.m_index.find(record);
+        const bool isFinal = outcome && outcome->status != ledger_status::exists_open;
         if (isFinal && !state.m_index.needsRenewal(record, state.m_unixSeconds))
-            return done(*reply);
+            return done(*outcome);
     }
     if (state.m_outage && state.m_now < state.m_retryAt)
         return done({ledger_status::unavailable, {}, {}});
     auto encoded = encodeRecord(record);
     state.m_queue.push_back({std::move(record), std::move(encoded), std::move(done), state.m_now});
     state.run();
-    state.giveReplies();
+    state.deliverOutcomes();
 }
 
 void ledger_segment::tick(instant now, std::int64_t unixSeconds)
@@ -569,14 +574,14 @@
     state.expire();
     state.run();
     state.m_compaction.tick(now);
-    state.giveReplies();
+    state.deliverOutcomes();
 }
 
 void ledger_segment::load()
 {
-    m_impl->m_wanted = true;
+    m_impl->m_loadRequested = true;
     m_impl->run();
-    m_impl->giveReplies();
+    m_impl->deliverOutcomes();
 }
 
 std::optional<instant> ledger_segment::nextTick() const
--- a/src/ledger_codec.cpp
+++ b/src/ledger_codec.cpp
@@ -1,4 +1,4 @@
-// JSON form of ledger records, batches and snapshot heads; see ledger_p.h and ledger_index_p.h.
+// JSON encoding of ledger records, batches and snapshot heads; see ledger_p.h and ledger_index_p.h.
 #include "ledger_index_p.h"
 
 #include <nlohmann/json.hpp>
@@ -31,7 +31,7 @@
     return value.is_array() && std::ranges::all_of(value, [](const json &entry) { return entry.is_string(); });
 }
 
-/// Field types of a record in its array form: s string, n number, l list of strings.
+/// Field types of a record, which is encoded as an array: s string, n number, l list of strings.
 constexpr std::string_view kRecordShape = "nsssnssnnnsl";
 static_assert(kRecordShape.size() == kRecordFields);
 
--- a/src/ledger_compaction.cpp
+++ b/src/ledger_compaction.cpp
@@ -1,4 +1,4 @@
-// Snapshots of a ledger segment and deletion of what they replace; see ledger_index_p.h.
+// Writes snapshots of a ledger segment and deletes the objects that they replace; see ledger_index_p.h.
 #include "ledger_index_p.h"
 
 #include <charconv>
@@ -10,7 +10,7 @@
 {
 
 constexpr std::chrono::microseconds kRetryUs{100000};
-constexpr std::size_t kSweepListLimit = 64; ///< orphans found for one snapshot; the rest waits for the next one
+constexpr std::size_t kSweepListLimit = 64; ///< orphans removed per snapshot; the next snapshot handles the rest
 
 log_index indexOfKey(std::string_view key)
 {
@@ -20,7 +20,7 @@
     return index;
 }
 
-/// Joins records into bodies below the store's size limit; each with the latest expiry of its records.
+/// Body of a snapshot part below the store's size limit, with the latest expiry of its records.
 struct part_body {
     std::string body;
     std::int64_t expires = 0;
@@ -68,23 +68,23 @@
     object_store &m_store;
     std::uint32_t m_segment;
     std::string m_writer;
-    std::uint64_t m_counter = 0; ///< makes part keys unique
+    std::uint64_t m_counter = 0; ///< for unique part keys
     step m_step = step::idle;
-    bool m_busy = false; ///< a call of the store is in flight
+    bool m_busy = false; ///< a store call is in flight
     bool m_closed = false;
     instant m_now{};
     instant m_retryAt{};
-    std::vector<part_body> m_bodies; ///< parts still to write, last first
-    std::vector<std::string> m_ownParts; ///< keys of the parts of this snapshot
+    std::vector<part_body> m_bodies; ///< parts still to be written, in reverse order
+    std::vector<std::string> m_ownParts; ///< keys of the parts written for this snapshot
     std::string m_partKey; ///< of m_bodies.back()
-    snapshot_head m_head; ///< the head to write
+    snapshot_head m_head; ///< the head to be written
     object_version m_baseVersion = 0;
     std::vector<snapshot_head::part> m_removals; ///< objects to delete once the floor is written
     std::deque<std::string> m_orphans; ///< batch objects below the floor
-    bool m_isLost = false; ///< another writer's snapshot is in force
+    bool m_lostRace = false; ///< another writer's head replaced the base first
     snapshot_done m_done;
 
-    /// Wraps a callback of the store: ignores it after destruction and goes on with the next step afterwards.
+    /// Wraps a store callback: ignores it after destruction, otherwise continues with the next step after it.
     template <typename value_type>
     auto then(void (implementation::*next)(value_type))
     {
@@ -142,7 +142,7 @@
     {
         if (written.has_value())
             return addPart(written.value());
-        // The key is unique: a conflict means that an earlier try with a lost answer has written it.
+        // The key is unique: a conflict means that an earlier attempt wrote the part, but its response was lost.
         if (written.error().code == error_code::conflict)
             m_step = step::part_version;
         else
@@ -168,11 +168,11 @@
     void onHead(result<object_version> written)
     {
         if (written.has_value())
-            return won(m_head, written.value());
+            return adoptOwnHead(m_head, written.value());
         if (written.error().code == error_code::conflict)
             m_step = step::head_check;
         else
-            retry(); // where the answer was lost, the next try meets a conflict with this writer's own head
+            retry(); // if only the response was lost, the retry conflicts with this writer's own head
     }
 
     void onHeadCheck(result<stored_object> found)
@@ -187,26 +187,27 @@
         };
         const bool isWon = std::ranges::any_of(head.value().parts, isOwn) || found.value().body == encodeHead(m_head);
         if (isWon)
-            return won(head.value(), found.value().version);
-        lost(head.value(), found.value().version);
+            return adoptOwnHead(head.value(), found.value().version);
+        discardOwnParts(head.value(), found.value().version);
     }
 
-    void won(const snapshot_head &head, object_version version)
+    void adoptOwnHead(const snapshot_head &head, object_version version)
     {
         m_step = step::floor;
         m_done(head, version);
     }
 
-    /// No head refers to this writer's parts, and none will: the head's version has moved on. Batches are not swept:
-    /// this writer's index may be above that of the head in force, and the winner may not have raised the floor yet.
-    void lost(const snapshot_head &head, object_version version)
+    /// No head refers to this writer's parts, and none will, since the head's version has changed. Batches are not
+    /// deleted: this writer's index may be above that of the current head, and the other writer may not have raised the
+    /// floor yet.
+    void discardOwnParts(const snapshot_head &head, object_version version)
     {
         m_removals.clear();
         std::ranges::copy_if(m_head.parts, std::back_inserter(m_removals), [&](const auto &part) {
             return std::ranges::find(m_ownParts, part.key) != m_ownParts.end();
         });
         m_step = step::remove;
-        m_isLost = true;
+        m_lostRace = true;
         m_done(head, version);
     }
 
@@ -218,7 +219,7 @@
         log_index floor = 0;
         if (exists)
             std::from_chars(found.value().body.data(), found.value().body.data() + found.value().body.size(), floor);
-        if (floor >= m_head.index) { // the floor never goes down
+        if (floor >= m_head.index) { // the floor never decreases
             m_step = step::remove;
             return;
         }
@@ -226,7 +227,7 @@
                       then(&implementation::onFloorWritten));
     }
 
-    /// Reads the floor again after each write, so that nothing is deleted before the floor is known to be in force.
+    /// On a conflict or a failure the floor is read again, so that nothing is deleted before the new floor is stored.
     void onFloorWritten(result<object_version> written)
     {
         if (written.has_value())
@@ -238,7 +239,7 @@
     void removeNext()
     {
         if (m_removals.empty()) {
-            if (m_isLost)
+            if (m_lostRace)
                 return finish();
             m_step = step::list;
             return run();
@@ -247,13 +248,13 @@
         m_store.remove(next.key, next.version, then(&implementation::onRemoved));
     }
 
-    /// A failed removal leaves an orphan that the listing of the next snapshot finds.
+    /// A failed removal leaves an orphan, which the next snapshot finds in its listing.
     void onRemoved(result<void> removed)
     {
-        const bool isDown = removed.has_error() && removed.error().code != error_code::not_found
+        const bool isUnavailable = removed.has_error() && removed.error().code != error_code::not_found
             && removed.error().code != error_code::conflict;
         m_removals.pop_back();
-        if (isDown)
+        if (isUnavailable)
             retry();
     }
 
@@ -304,7 +305,7 @@
     job.m_bodies = makeParts(records);
     std::ranges::reverse(job.m_bodies);
     job.m_ownParts.clear();
-    job.m_isLost = false;
+    job.m_lostRace = false;
     job.m_partKey.clear();
     job.m_head = {index, {}};
     job.m_removals = std::move(replaced);
--- a/src/ledger_index.cpp
+++ b/src/ledger_index.cpp
@@ -1,4 +1,4 @@
-// Index of a ledger segment: which records count; see ledger_index_p.h.
+// Index of a ledger segment: determines the effective records; see ledger_index_p.h.
 #include "ledger_index_p.h"
 
 #include <charconv>
@@ -11,10 +11,10 @@
 
 constexpr std::int64_t kSecondsPerMinute = 60;
 
-/// Hosts drop an entry at different times because their wall clocks differ; this much difference does no harm.
+/// Tolerated difference between wall clocks, because of which hosts remove an entry at different times.
 constexpr std::int64_t kClockSlackSeconds = 60;
 
-/// Creation time in a request id `<unix seconds>-<token>`; 0 where there is none.
+/// @returns the creation time in a request id `<unix seconds>-<token>`; 0 if it has none.
 std::int64_t createdAt(std::string_view id)
 {
     std::int64_t seconds = 0;
@@ -23,7 +23,7 @@
     return isTime ? seconds : 0;
 }
 
-/// Longest that a request id from the future may prolong its entry; callers' clocks are not trusted beyond it.
+/// Limit by which a request id with a future timestamp can extend its entry, since callers' clocks are not trusted.
 constexpr std::int64_t kMaxFutureSeconds = 3600;
 
 } // namespace
--- a/src/ledger_routing.cpp
+++ b/src/ledger_routing.cpp
@@ -80,8 +80,9 @@
     const auto key = XXH64(writer.data(), writer.size(), 0);
     const host_config *best = nullptr;
     for (const auto &host : m_hosts) {
-        const bool isOpen = host.failureDomain != m_failureDomain && isUsable(host.name) && !tried.contains(host.name);
-        if (!isOpen)
+        const bool isEligible =
+            host.failureDomain != m_failureDomain && isUsable(host.name) && !tried.contains(host.name);
+        if (!isEligible)
             continue;
         if (best == nullptr || rendezvousWeight(host.name, key) > rendezvousWeight(best->name, key))
             best = &host;
@@ -95,7 +96,8 @@
         append_done done;
         bool maybeWritten = false; ///< an owner may have written it
     };
-    /// Records on their way to one segment's owner; at most one call is in flight, so that records gather meanwhile.
+    /// Records to be sent to one segment's owner. At most one call is in flight; records that arrive meanwhile form the
+    /// next batch.
     struct outbox {
         std::vector<routed_record> waiting;
         bool inFlight = false;
@@ -128,7 +130,7 @@
     std::int64_t m_unixSeconds = 0;
     std::map<std::uint32_t, std::unique_ptr<ledger_segment>> m_segments; ///< created at first use
     std::map<std::uint32_t, outbox> m_outboxes;
-    /// Pins made while the store was down, by (account, session id).
+    /// Pins created while the store was unavailable, by (account, session id).
     std::map<std::pair<std::string, std::string>, ledger_record> m_pins;
     instant m_pinRetryAt{};
 
@@ -176,35 +178,35 @@
                                [](const auto &routed) { return encodeRecord(routed.record); });
         box.inFlight = true;
         m_peers.append(owner, number, joinBatch("append", encoded),
-                       [self = shared_from_this(), owner, number, records](const auto &replies) {
+                       [self = shared_from_this(), owner, number, records](const auto &outcomes) {
                            if (self->m_closed)
                                return;
                            self->m_outboxes[number].inFlight = false;
-                           self->takeReplies(owner, *records, replies);
+                           self->handleOutcomes(owner, *records, outcomes);
                            self->send(number);
                        });
     }
 
-    void takeReplies(const std::string &owner, std::vector<routed_record> &records,
-                     const result<std::vector<append_outcome>> &replies)
+    void handleOutcomes(const std::string &owner, std::vector<routed_record> &records,
+                        const result<std::vector<append_outcome>> &outcomes)
     {
-        const bool isAnswer = replies.has_value() && replies.value().size() == records.size();
-        if (!isAnswer)
+        const bool isComplete = outcomes.has_value() && outcomes.value().size() == records.size();
+        if (!isComplete)
             m_hosts.suspect(owner, m_now + m_timing.suspect);
-        const bool surelyNot = replies.has_error() && replies.error().code == error_code::unavailable;
+        const bool notDelivered = outcomes.has_error() && outcomes.error().code == error_code::unavailable;
         for (std::size_t i = 0; i < records.size(); ++i) {
             auto &routed = records[i];
-            if (isAnswer && !isRefusal(replies.value()[i].status)) {
-                routed.done(replies.value()[i]);
+            if (isComplete && !isRefusal(outcomes.value()[i].status)) {
+                routed.done(outcomes.value()[i]);
                 continue;
             }
-            const bool refused = isAnswer && replies.value()[i].status == ledger_status::unavailable;
-            routed.maybeWritten = routed.maybeWritten || !(surelyNot || refused);
+            const bool refused = isComplete && outcomes.value()[i].status == ledger_status::unavailable;
+            routed.maybeWritten = routed.maybeWritten || !(notDelivered || refused);
             appendLocally(std::move(routed));
         }
     }
 
-    /// The reply of an append without a written record, where an owner may have written it, is not "not written".
+    /// Reports `unknown` instead of `unavailable` if an owner may have written the record.
     void appendLocally(routed_record routed)
     {
         if (m_segmentCount == 0)
@@ -213,14 +215,14 @@
             return routed.done(*known);
         const auto number = segmentFor(routed.record);
         auto shared = std::make_shared<routed_record>(std::move(routed));
-        segment(number).append(shared->record, [self = shared_from_this(), number, shared](append_outcome reply) {
+        segment(number).append(shared->record, [self = shared_from_this(), number, shared](append_outcome outcome) {
             if (self->m_closed)
                 return;
-            if (shared->maybeWritten && reply.status == ledger_status::unavailable)
-                reply.status = ledger_status::unknown;
-            if (shared->record.type == record_type::pin && isRefusal(reply.status))
-                reply = self->pinInMemory(number, shared->record, reply);
-            shared->done(reply);
+            if (shared->maybeWritten && outcome.status == ledger_status::unavailable)
+                outcome.status = ledger_status::unknown;
+            if (shared->record.type == record_type::pin && isRefusal(outcome.status))
+                outcome = self->pinInMemory(number, shared->record, outcome);
+            shared->done(outcome);
         });
     }
 
@@ -236,9 +238,9 @@
         return append_outcome{ledger_status::exists_pinned, {}, found->second.pins};
     }
 
-    /// The proposed versions are the same on all hosts with the same generation, so hosts that cannot reach each other
-    /// agree. Without the log an older pin could be missed, so the pin is refused then. The reply is exists_pinned: the
-    /// pin holds but is not durable.
+    /// All hosts with the same generation propose the same versions, so hosts that cannot reach each other agree. The
+    /// pin is refused if the log is not loaded, since an older pin could be missed. The result is exists_pinned: the
+    /// pin is in effect, but not durable.
     append_outcome pinInMemory(std::uint32_t number, const ledger_record &record, const append_outcome &refusal)
     {
         const bool isSafe = segment(number).isLoaded() && m_hosts.ownerOf(number) == m_host;
@@ -261,13 +263,13 @@
     void writePin(const std::pair<std::string, std::string> &key, const ledger_record &record)
     {
         const auto number = segmentFor(record);
-        segment(number).append(record, [self = shared_from_this(), key](const append_outcome &reply) {
-            if (!self->m_closed && !isRefusal(reply.status))
+        segment(number).append(record, [self = shared_from_this(), key](const append_outcome &outcome) {
+            if (!self->m_closed && !isRefusal(outcome.status))
                 self->m_pins.erase(key);
         });
     }
 
-    /// Reads the logs of owned segments before the first record, so that pins can be made when an outage begins.
+    /// Loads the owned segments before their first record, so that pins can be created as soon as an outage begins.
     void loadOwned()
     {
         for (std::uint32_t number = 0; number < m_segmentCount; ++number) {
@@ -286,7 +288,7 @@
 ledger_router::~ledger_router()
 {
     m_impl->m_closed = true;
-    m_impl->m_segments.clear(); // their stores may go away before the last callback
+    m_impl->m_segments.clear(); // the store may be destroyed before the last callback
 }
 
 void ledger_router::configure(const fleet &config)
@@ -321,14 +323,14 @@
 std::optional<instant> ledger_router::nextTick() const
 {
     std::optional<instant> next;
-    const auto take = [&](std::optional<instant> time) {
+    const auto include = [&](std::optional<instant> time) {
         if (time)
             next = next ? std::min(*next, *time) : *time;
     };
     for (const auto &[number, segment] : m_impl->m_segments)
-        take(segment->nextTick());
+        include(segment->nextTick());
     if (!m_impl->m_pins.empty())
-        take(m_impl->m_pinRetryAt);
+        include(m_impl->m_pinRetryAt);
     return next;
 }
 
--- a/src/ledger_routing_p.h
+++ b/src/ledger_routing_p.h
@@ -1,4 +1,4 @@
-// Which host owns a ledger segment, and the records on their way to it.
+// Ownership of ledger segments, and routing of records to the owners.
 #pragma once
 
 #include "ledger_service_p.h"
@@ -6,7 +6,7 @@
 namespace foxtaildyke
 {
 
-/// Registered hosts, those that are gone, and those that did not answer lately.
+/// Registered hosts, with those that are gone and those suspected because a recent call to them failed.
 class ledger_hosts
 {
 public:
@@ -19,13 +19,14 @@
     void setGone(std::set<std::string> hosts);
     void suspect(const std::string &host, instant until);
 
-    /// Ends suspicions that are over.
+    /// Removes expired suspicions.
     void tick(instant now);
 
-    /// @returns the first live host in rendezvous order; this host where none is known.
+    /// @returns the usable host that ranks first by rendezvous hashing; this host if no hosts are configured.
     [[nodiscard]] const std::string &ownerOf(std::uint32_t segment);
 
-    /// @returns a live host of another failure domain for a copy, spread by the record's writer; empty if none is left.
+    /// @returns a usable host of another failure domain to store a copy, chosen by rendezvous hashing of the record's
+    /// writer; empty if no untried host is left.
     [[nodiscard]] std::string selectCopyHolder(std::string_view writer, const std::set<std::string> &tried) const;
 
     [[nodiscard]] bool isGone(const std::string &host) const;
@@ -37,11 +38,11 @@
     std::string m_failureDomain; ///< of this host
     std::vector<host_config> m_hosts;
     std::set<std::string> m_gone;
-    std::map<std::string, instant> m_suspected; ///< until when
-    std::map<std::uint32_t, std::string> m_owners; ///< cache; emptied when a host comes or goes
+    std::map<std::string, instant> m_suspected; ///< with the end of the suspicion
+    std::map<std::uint32_t, std::string> m_owners; ///< cache; cleared when the set of usable hosts changes
 };
 
-/// Sends records to the owners of their segments and writes a segment itself where that fails.
+/// Sends records to the owners of their segments; if that fails, this host appends to the segment itself.
 class ledger_router
 {
 public:
@@ -53,10 +54,10 @@
 
     void configure(const fleet &config);
 
-    /// Sends a record to its owner, or appends it here. `done` runs once.
+    /// Sends a record to the owner of its segment, or appends it on this host. `done` is called exactly once.
     void route(ledger_record record, append_done done);
 
-    /// Appends a record to a segment of this host.
+    /// Appends a record through this host's own writer of the segment.
     void appendLocally(ledger_record record, append_done done);
 
     void tick(instant now, std::int64_t unixSeconds);
--- a/src/ledger_service.cpp
+++ b/src/ledger_service.cpp
@@ -1,4 +1,4 @@
-// The ledger of one host: bills that the store does not take, their copies, and calls of other hosts; see
+// The ledger of one host: bills that are not written yet, their copies, and calls of other hosts; see
 // ledger_service_p.h.
 #include "ledger_routing_p.h"
 #include "ledger_service_p.h"
@@ -9,10 +9,10 @@
 namespace
 {
 
-/// Copies kept for other hosts; at 3 KB each this is at most a quarter of a node's 128 MB.
+/// Limit of copies stored for other hosts; at 3 KB each they take up at most a quarter of a node's 128 MB.
 constexpr std::size_t kMaxCopies = 10000;
 
-/// Hosts asked to keep a copy before the caller of bill() is told that none does.
+/// Number of hosts tried as holder of a copy before the bill is reported as not copied.
 constexpr std::size_t kMaxCopyTries = 3;
 
 bool isSettled(ledger_status status)
@@ -24,22 +24,22 @@
 
 struct ledger_service::implementation : std::enable_shared_from_this<implementation> {
     /// A bill of this host that is not known to be in the log.
-    struct kept_bill {
+    struct pending_bill {
         ledger_record record;
-        append_done done; ///< empty once answered
+        append_done done; ///< empty once completed
         instant since{};
         instant retryAt{};
         bool writing = false;
         bool copying = false;
-        std::string holder; ///< host with a copy; empty: none
+        std::string holder; ///< host that has a copy; empty if none
         std::set<std::string> tried;
     };
-    /// A bill of another host.
+    /// Copy of another host's bill.
     struct kept_copy {
         ledger_record record;
         std::string host;
         instant retryAt{};
-        bool adopted = false; ///< its host is gone
+        bool adopted = false; ///< the bill's host is gone
         bool writing = false;
     };
 
@@ -66,9 +66,9 @@
     std::uint64_t m_counter = 0;
     instant m_now{};
     std::int64_t m_unixSeconds = 0;
-    std::map<std::string, kept_bill> m_bills; ///< by writer
+    std::map<std::string, pending_bill> m_bills; ///< by writer
     std::map<std::string, kept_copy> m_copies; ///< by writer
-    std::map<std::string, std::vector<std::string>> m_releases; ///< by holder: writers of bills now in the log
+    std::map<std::string, std::vector<std::string>> m_releases; ///< by holder: writers of bills that are now in the log
 
     ledger_record newRecord(record_type type, const std::string &account, const std::string &id)
     {
@@ -97,19 +97,19 @@
         bill.retryAt = m_now + m_timing.retry;
         if (!bill.copying)
             bill.tried.clear();
-        m_router.route(bill.record, [self = shared_from_this(), writer](const append_outcome &reply) {
+        m_router.route(bill.record, [self = shared_from_this(), writer](const append_outcome &outcome) {
             if (!self->m_closed)
-                self->onBillWritten(writer, reply);
+                self->onBillWritten(writer, outcome);
         });
     }
 
-    void onBillWritten(const std::string &writer, const append_outcome &reply)
+    void onBillWritten(const std::string &writer, const append_outcome &outcome)
     {
         const auto found = m_bills.find(writer);
         if (found == m_bills.end())
             return;
         found->second.writing = false;
-        if (!isSettled(reply.status)) {
+        if (!isSettled(outcome.status)) {
             copyBill(writer);
             return;
         }
@@ -118,10 +118,10 @@
         if (!bill.holder.empty())
             m_releases[bill.holder].push_back(writer);
         if (bill.done)
-            bill.done(reply);
+            bill.done(outcome);
     }
 
-    /// Gives a copy to a host of another failure domain, unless one has it or is being asked.
+    /// Sends a copy to a host of another failure domain, unless one has it or a call is in flight.
     void copyBill(const std::string &writer)
     {
         auto &bill = m_bills.at(writer);
@@ -130,7 +130,7 @@
         const auto holder =
             bill.tried.size() < kMaxCopyTries ? m_router.hosts().selectCopyHolder(writer, bill.tried) : std::string();
         if (holder.empty()) {
-            // It is kept here and tried again, so it may still be written: not "unavailable".
+            // The bill is retained and retried, so it may still be written: the result is not `unavailable`.
             if (bill.done && m_now - bill.since >= m_timing.billTimeout)
                 std::exchange(bill.done, nullptr)({ledger_status::unknown, {}, {}});
             return;
@@ -148,7 +148,7 @@
     {
         const bool isKept = kept.has_value() && kept.value();
         const auto found = m_bills.find(writer);
-        if (found == m_bills.end()) { // written meanwhile
+        if (found == m_bills.end()) { // written in the meantime
             if (isKept)
                 m_releases[holder].push_back(writer);
             return;
@@ -178,7 +178,7 @@
             if (!bill.writing && m_now >= bill.retryAt)
                 toWrite.push_back(writer);
         }
-        // A call may settle a bill, so each is looked up again.
+        // Each call may complete and remove a bill, so each bill is looked up again.
         for (const auto &writer : toCopy) {
             if (m_bills.contains(writer))
                 copyBill(writer);
@@ -191,7 +191,7 @@
 
     // Copies of other hosts' bills.
 
-    bool takeCopies(const std::string &host, std::vector<ledger_record> records)
+    bool acceptCopies(const std::string &host, std::vector<ledger_record> records)
     {
         if (m_draining || m_copies.size() + records.size() > kMaxCopies)
             return false;
@@ -224,17 +224,17 @@
             return;
         found->second.writing = true;
         found->second.retryAt = m_now + m_timing.retry;
-        m_router.route(found->second.record, [self = shared_from_this(), writer](const append_outcome &reply) {
+        m_router.route(found->second.record, [self = shared_from_this(), writer](const append_outcome &outcome) {
             const auto position = self->m_copies.find(writer);
             if (self->m_closed || position == self->m_copies.end())
                 return;
             position->second.writing = false;
-            if (isSettled(reply.status))
+            if (isSettled(outcome.status))
                 self->m_copies.erase(position);
         });
     }
 
-    /// A lost release does no harm: the holder writes the copy, and log order removes the double.
+    /// A lost release is harmless: the holder writes the copy, and only the first record in log order is effective.
     void sendReleases()
     {
         const auto releases = std::exchange(m_releases, {});
@@ -301,22 +301,22 @@
     };
     if (count == 0 || std::ranges::any_of(records.value().records, isOther))
         return done(error{error_code::unavailable, "segment"});
-    struct gathering {
-        std::vector<append_outcome> replies;
-        std::size_t missing = 0;
+    struct pending_append {
+        std::vector<append_outcome> outcomes;
+        std::size_t remaining = 0;
         ledger_peers::append_batch_done done;
     };
-    auto state = std::make_shared<gathering>();
-    state->missing = records.value().records.size();
-    state->replies.resize(state->missing);
+    auto state = std::make_shared<pending_append>();
+    state->remaining = records.value().records.size();
+    state->outcomes.resize(state->remaining);
     state->done = std::move(done);
-    if (state->missing == 0)
-        return state->done(state->replies);
-    for (std::size_t i = 0; i < state->replies.size(); ++i) {
-        m_impl->m_router.appendLocally(std::move(records.value().records[i]), [state, i](append_outcome reply) {
-            state->replies[i] = std::move(reply);
-            if (--state->missing == 0)
-                state->done(state->replies);
+    if (state->remaining == 0)
+        return state->done(state->outcomes);
+    for (std::size_t i = 0; i < state->outcomes.size(); ++i) {
+        m_impl->m_router.appendLocally(std::move(records.value().records[i]), [state, i](append_outcome outcome) {
+            state->outcomes[i] = std::move(outcome);
+            if (--state->remaining == 0)
+                state->done(state->outcomes);
         });
     }
 }
@@ -329,7 +329,7 @@
     auto records = decodeRecords(batch);
     if (records.has_error())
         return false;
-    return m_impl->takeCopies(host, std::move(records.value().records));
+    return m_impl->acceptCopies(host, std::move(records.value().records));
 }
 
 void ledger_service::tick(instant now, std::int64_t unixSeconds)
@@ -346,17 +346,17 @@
 std::optional<instant> ledger_service::nextTick() const
 {
     auto next = m_impl->m_router.nextTick();
-    const auto take = [&](instant time) {
+    const auto include = [&](instant time) {
         next = next ? std::min(*next, time) : time;
     };
     for (const auto &[writer, bill] : m_impl->m_bills) {
-        take(bill.retryAt);
+        include(bill.retryAt);
         const auto copyAt = bill.since + m_impl->m_timing.copyAfter;
         if (bill.holder.empty() && copyAt > m_impl->m_now)
-            take(copyAt);
+            include(copyAt);
     }
     for (const auto &[writer, copy] : m_impl->m_copies)
-        take(copy.retryAt);
+        include(copy.retryAt);
     return next;
 }
 
