--- a/tests/ledger_fakes.h
+++ b/tests/ledger_fakes.h
@@ -1,4 +1,4 @@
-// Virtual time, a store and a network with faults, and pausable hosts for the ledger's tests.
+// Test doubles for the ledger tests: virtual time, a store with injected faults, and hosts that can be paused.
 #pragma once
 
 #include "ledger_index_p.h"
@@ -9,7 +9,7 @@
 namespace foxtaildyke::testing
 {
 
-/// Events in virtual time; events of one instant run in the order in which they were added.
+/// Discrete event simulation; events with the same time run in the order in which they were added.
 class simulation
 {
 public:
@@ -23,7 +23,7 @@
         m_events.push({m_now + delay, m_counter++, std::move(event)});
     }
 
-    /// @returns false where no event is left before `end`.
+    /// Runs the next event. @returns false if no event is due up to `end`.
     bool step(instant end)
     {
         if (m_events.empty() || m_events.top().time > end)
@@ -58,19 +58,19 @@
     std::uint64_t m_counter = 0;
 };
 
-/// What goes wrong, each in 1 of 1000 calls.
+/// Rates of injected faults, in calls per 1000.
 struct fault_rates {
-    std::uint64_t lostResponse = 0; ///< takes effect, answer is lost
-    std::uint64_t lostCall = 0; ///< has no effect, answer is lost
-    std::uint64_t delayed = 0; ///< answered timed_out; takes effect long afterwards
-    std::uint64_t refused = 0; ///< unavailable
-    std::uint64_t maxDelayUs = 20000; ///< bound of a delayed effect
+    std::uint64_t lostResponse = 0; ///< the call takes effect, but its response is lost
+    std::uint64_t lostCall = 0; ///< the call has no effect and gets no response
+    std::uint64_t delayed = 0; ///< fails with timed_out, but takes effect much later
+    std::uint64_t refused = 0; ///< fails with unavailable
+    std::uint64_t maxDelayUs = 20000; ///< upper bound of a delayed effect
 };
 
-/// The platform's objects, and the history of batches for comparison.
+/// Objects of the platform, with the history of batches for comparison.
 struct shared_store {
     std::map<std::string, stored_object> objects;
-    std::map<std::string, std::string> firstBodies; ///< of every key that ever existed: its first content
+    std::map<std::string, std::string> firstBodies; ///< first content of every key that ever existed
     object_version lastVersion = 0;
     bool isDown = false;
     std::uint64_t writes = 0; ///< including refused ones
@@ -125,7 +125,7 @@
     }
 };
 
-/// One host: runs its events in order, not while it is paused, and not after it was killed.
+/// One host: runs its events in order, defers them while it is paused, and drops them after it was killed.
 class pausable_host
 {
 public:
@@ -191,13 +191,13 @@
     }
 
 private:
-    static constexpr std::uint64_t kLegUs = 2000; ///< bound of one way to the store
+    static constexpr std::uint64_t kMaxOneWayUs = 2000; ///< upper bound of the one-way delay to the store
 
     template <typename value_type>
     void call(std::function<value_type()> effect, std::function<void(value_type)> done)
     {
-        const instant there{200 + m_sim.below(kLegUs)};
-        const instant back{200 + m_sim.below(kLegUs)};
+        const instant there{200 + m_sim.below(kMaxOneWayUs)};
+        const instant back{200 + m_sim.below(kMaxOneWayUs)};
         const auto fail = [this, done](instant delay, error_code code) {
             m_host.deliver(delay, [done, code] { done(error{code, "fake"}); });
         };
@@ -228,7 +228,7 @@
     const fault_rates &m_faults;
 };
 
-/// Writers of the records that count, by type, account and id.
+/// Writers of the effective records, by type and id.
 using effective_writers = std::map<std::string, std::string>;
 
 inline void applyAll(ledger_index &index, effective_writers &writers, const std::string &body)
@@ -240,7 +240,7 @@
     }
 }
 
-/// Reads a segment from its snapshot and the batches after it, as a new host does.
+/// Reads a segment from its snapshot and the batches after it, as a restarted host does.
 inline effective_writers readFromScratch(shared_store &store, std::uint32_t segment)
 {
     ledger_index index(std::chrono::hours(1));
@@ -255,7 +255,7 @@
     return writers;
 }
 
-/// The same from the first object that was ever created at each index, deleted or not.
+/// Reads a segment from the first object that was ever created at each index, including deleted ones.
 inline effective_writers readHistory(const shared_store &store, std::uint32_t segment)
 {
     ledger_index index(std::chrono::hours(1));
--- a/tests/measure_ledger.cpp
+++ b/tests/measure_ledger.cpp
@@ -1,5 +1,5 @@
-// Measures the ledger: store calls with and without owner routing in virtual time, and memory and processor time per
-// record as slopes over three sizes. Prints Markdown rows for docs/MEASUREMENTS.md.
+// Benchmarks the ledger: store calls with and without owner routing in virtual time, and memory and CPU time for three
+// sizes, whose slopes give the cost per record. Prints Markdown rows for docs/MEASUREMENTS.md.
 #include "ledger_fakes.h"
 #include "ledger_service_p.h"
 
@@ -66,8 +66,8 @@
 {
     auto &target = *m_hosts.at(host);
     target.process.deliver(oneWay(), [this, &target, segment, batch = std::move(batch), done = std::move(done)] {
-        target.service.serveAppend(segment, batch, [this, &target, done](const auto &replies) {
-            target.process.deliver(oneWay(), [done, replies] { done(replies); });
+        target.service.serveAppend(segment, batch, [this, &target, done](const auto &outcomes) {
+            target.process.deliver(oneWay(), [done, outcomes] { done(outcomes); });
         });
     });
 }
@@ -80,7 +80,7 @@
     return config;
 }
 
-/// One claim and, on its answer, one bill for each request, at a fixed rate over all hosts.
+/// Sends one claim and, once it completes, one bill for each request, at a fixed rate over all hosts.
 void measureRouting(bool routed, std::uint64_t requestsPerSecond)
 {
     simulation sim(11);
@@ -104,10 +104,10 @@
     std::function<void(std::uint64_t)> send = [&](std::uint64_t number) {
         auto &service = hosts.at(names[sim.below(kHosts)])->service;
         const auto id = std::to_string(kUnixSeconds) + "-" + std::to_string(number);
-        const auto begun = sim.now();
-        service.claim({{}, "studio-legale", id}, [&, id, begun](const append_outcome &reply) {
-            refused += reply.status != ledger_status::written;
-            waits.push_back(sim.now() - begun);
+        const auto startTime = sim.now();
+        service.claim({{}, "studio-legale", id}, [&, id, startTime](const append_outcome &outcome) {
+            refused += outcome.status != ledger_status::written;
+            waits.push_back(sim.now() - startTime);
             service.bill({{}, "studio-legale", id, "grand", "grand-2", 100, 200, 300, {}},
                          [](const append_outcome &) {});
         });
@@ -126,7 +126,7 @@
         static_cast<double>(waits[waits.size() * 99 / 100].count()) / 1e3, static_cast<unsigned long long>(refused));
 }
 
-/// Answers within the call and keeps nothing but what a read may ask for.
+/// Store that responds synchronously and retains only the current objects.
 class instant_store : public object_store
 {
 public:
@@ -147,7 +147,7 @@
     shared_store store;
 };
 
-ledger_record makeBill(std::size_t number, std::size_t answerBytes)
+ledger_record makeBill(std::size_t number, std::size_t responseBytes)
 {
     ledger_record record;
     record.type = record_type::bill;
@@ -160,7 +160,7 @@
     record.promptTokens = 700;
     record.completionTokens = 250;
     record.costMicroUnits = 1234;
-    record.response = std::string(answerBytes, 'a');
+    record.response = std::string(responseBytes, 'a');
     return record;
 }
 
@@ -169,12 +169,12 @@
     return mallinfo2().uordblks;
 }
 
-std::size_t indexBytes(std::size_t entries, std::size_t answerBytes)
+std::size_t indexBytes(std::size_t entries, std::size_t responseBytes)
 {
     const auto before = heapBytes();
     ledger_index index(1h);
     for (std::size_t i = 0; i < entries; ++i)
-        index.apply(makeBill(i, answerBytes));
+        index.apply(makeBill(i, responseBytes));
     return heapBytes() - before;
 }
 
@@ -183,19 +183,19 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-/// @returns processor seconds of one segment for that many bills, 20 in each batch, the store's own time included.
+/// @returns CPU seconds that one segment needs for `records` bills in batches of 20, including the fake store's time.
 double segmentSeconds(std::size_t records)
 {
     instant_store store;
     ledger_segment segment(store, 0, "host3-run1", 1h);
-    const auto begun = processorSeconds();
+    const auto startTime = processorSeconds();
     constexpr std::size_t kBatch = 20;
     for (std::size_t i = 0; i < records; i += kBatch) {
         for (std::size_t j = 0; j < kBatch; ++j)
             segment.append(makeBill(i + j, 0), [](const append_outcome &) {});
         segment.tick(instant(i * 1000), kUnixSeconds);
     }
-    return processorSeconds() - begun;
+    return processorSeconds() - startTime;
 }
 
 } // namespace
@@ -211,10 +211,10 @@
         measureRouting(false, rate);
     }
     constexpr std::array<std::size_t, 3> kSizes{20000, 40000, 80000};
-    for (const std::size_t answer : {0, 512}) {
+    for (const std::size_t responseBytes : {0, 512}) {
         for (const auto size : kSizes)
-            std::printf("index with answers of %zu bytes: %zu entries, %zu bytes\n", answer, size,
-                        indexBytes(size, answer));
+            std::printf("index with responses of %zu bytes: %zu entries, %zu bytes\n", responseBytes, size,
+                        indexBytes(size, responseBytes));
     }
     for (const auto size : kSizes)
         std::printf("segment: %zu records, %.3f s of processor time\n", size, segmentSeconds(size));
--- a/tests/test_ledger_segment.cpp
+++ b/tests/test_ledger_segment.cpp
@@ -1,5 +1,5 @@
-// One ledger segment with several writers under store faults and pauses: a claim must be granted once, a bill must
-// count once, and a snapshot must lose no entry.
+// One ledger segment with several writers, store faults and pauses. Guards against claims granted twice, bills counted
+// twice, and entries lost by a snapshot.
 #include "ledger_fakes.h"
 
 #include <cstdlib>
@@ -32,10 +32,10 @@
 
 struct sent_record {
     ledger_record record;
-    std::optional<append_outcome> reply;
+    std::optional<append_outcome> outcome;
 };
 
-/// A segment on one host, ticked each millisecond.
+/// A segment on one host, ticked every millisecond.
 class segment_host
 {
 public:
@@ -51,9 +51,9 @@
     void send(const std::shared_ptr<sent_record> &sent)
     {
         m_host.deliver(0us, [this, sent] {
-            m_segment.append(sent->record, [sent](append_outcome reply) {
-                REQUIRE_FALSE(sent->reply.has_value()); // each append is answered once
-                sent->reply = std::move(reply);
+            m_segment.append(sent->record, [sent](append_outcome outcome) {
+                REQUIRE_FALSE(sent->outcome.has_value()); // each append is completed once
+                sent->outcome = std::move(outcome);
             });
         });
     }
@@ -84,7 +84,7 @@
     instant appendTimeout = 30ms;
 };
 
-/// Runs writers over a few keys and checks the replies against the log.
+/// Runs several writers over a few keys and checks the outcomes against the log.
 class segment_run
 {
 public:
@@ -116,7 +116,7 @@
         const auto history = readHistory(m_store, 0);
         RC_ASSERT(readFromScratch(m_store, 0) == history);
         for (const auto &sent : m_sent) {
-            RC_ASSERT(sent->reply.has_value());
+            RC_ASSERT(sent->outcome.has_value());
             checkReply(*sent, history);
         }
         checkSnapshots();
@@ -130,10 +130,10 @@
             m_hosts[m_sim.below(m_hosts.size())]->pause(instant(m_sim.below(200000)));
         if (m_sim.chance(m_plan.outagePermille))
             m_store.isDown = !m_store.isDown;
-        // A tenth of the records is sent a second time, through any host, as after a lost call to the owner.
-        const bool isRepeat = !m_sent.empty() && m_sim.chance(100);
+        // A tenth of the records is sent a second time through a random host, as after a lost call to the owner.
+        const bool isRetry = !m_sent.empty() && m_sim.chance(100);
         auto sent = std::make_shared<sent_record>();
-        sent->record = isRepeat ? m_sent[m_sim.below(m_sent.size())]->record : newRecord();
+        sent->record = isRetry ? m_sent[m_sim.below(m_sent.size())]->record : newRecord();
         m_sent.push_back(sent);
         m_hosts[m_sim.below(m_hosts.size())]->send(sent);
     }
@@ -141,7 +141,7 @@
     ledger_record newRecord()
     {
         const auto type = static_cast<record_type>(m_sim.below(3));
-        // Keys come and go, so that an old one is asked for again after some snapshots.
+        // The set of keys changes slowly, so that a key is used again after some snapshots.
         const auto key = std::to_string(m_sent.size() / 40) + "-" + std::to_string(m_sim.below(6));
         return makeRecord(type, key, "writer-" + std::to_string(m_sent.size()));
     }
@@ -151,7 +151,7 @@
         const auto &record = sent.record;
         const auto found = history.find(std::string(nameOf(record.type)) + " " + record.id);
         const bool isEffective = found != history.end() && found->second == record.writer;
-        const auto status = sent.reply->status;
+        const auto status = sent.outcome->status;
         if (status == ledger_status::written && !isEffective)
             RC_FAIL("granted to " + record.writer + " in " + nameOf(record.type).data() + " " + record.id
                     + ", in the log: " + (found == history.end() ? "nothing" : found->second));
@@ -168,7 +168,7 @@
     }
 
 public:
-    /// "unavailable" says that the record was not written and never will be; only for records that were sent once.
+    /// `unavailable` means that the record is not and never will be in the log; checked for records sent only once.
     void checkRefusals()
     {
         const auto history = readHistory(m_store, 0);
@@ -176,7 +176,7 @@
         for (const auto &sent : m_sent)
             ++copies[sent->record.writer];
         for (const auto &sent : m_sent) {
-            if (copies[sent->record.writer] > 1 || sent->reply->status != ledger_status::unavailable)
+            if (copies[sent->record.writer] > 1 || sent->outcome->status != ledger_status::unavailable)
                 continue;
             const auto found = history.find(std::string(nameOf(sent->record.type)) + " " + sent->record.id);
             RC_ASSERT(found == history.end() || found->second != sent->record.writer);
@@ -186,7 +186,7 @@
     [[nodiscard]] std::size_t count(ledger_status status) const
     {
         return static_cast<std::size_t>(
-            std::ranges::count_if(m_sent, [&](const auto &sent) { return sent->reply->status == status; }));
+            std::ranges::count_if(m_sent, [&](const auto &sent) { return sent->outcome->status == status; }));
     }
     [[nodiscard]] const shared_store &store() const { return m_store; }
 
@@ -213,7 +213,7 @@
     return plan;
 }
 
-/// Every run uses the same seed, so that a failure can be repeated.
+/// Makes failures reproducible, unless RC_PARAMS is set.
 void useFixedSeed()
 {
     setenv("RC_PARAMS", "seed=20261203 max_success=300", 0);
@@ -232,20 +232,20 @@
     }));
 }
 
-TEST_CASE("without faults every record is answered from the log")
+TEST_CASE("every record completes with an outcome from the log if there are no faults")
 {
     segment_run run({7, 3, {}, 0, 0, 400, 500ms});
     run.run();
     CHECK(rc::check([&] { run.check(); }));
     CHECK(run.count(ledger_status::unavailable) == 0);
     CHECK(run.count(ledger_status::unknown) == 0);
-    CHECK(run.store().removes > 0); // snapshots have replaced batches
+    CHECK(run.store().removes > 0); // batches were replaced by snapshots
 }
 
 namespace
 {
 
-/// Store on which a test puts objects by hand and refuses calls at will; answers within the call.
+/// Synchronous store in which a test can place objects and refuse reads.
 class scripted_store : public object_store
 {
 public:
@@ -268,7 +268,7 @@
         done(store.list(prefix, after, limit));
     }
 
-    /// Another host's snapshot of the batches below `index`, with their records.
+    /// Simulates another host's snapshot of the batches below `index`, with their records.
     void compact(log_index index, const std::vector<ledger_record> &records)
     {
         snapshot_head head{index, {}};
@@ -290,11 +290,11 @@
     std::function<void(const std::string &)> beforeRead;
 };
 
-/// A record and what it was answered, appended by a segment that has read the empty log.
+/// A segment that has read the log while it was empty, and the outcome of its append.
 struct stale_segment {
     scripted_store store;
     ledger_segment segment{store, 0, "stale", 1h};
-    std::optional<append_outcome> reply;
+    std::optional<append_outcome> outcome;
 
     stale_segment()
     {
@@ -303,26 +303,27 @@
     }
     void append(const ledger_record &record)
     {
-        segment.append(record, [this](append_outcome given) { reply = std::move(given); });
+        segment.append(record, [this](append_outcome received) { outcome = std::move(received); });
         segment.tick(10ms, kUnixSeconds);
     }
 };
 
 } // namespace
 
-TEST_CASE("batches keep to the write pace, however many records come")
+TEST_CASE("batches stay within the write rate limit under load")
 {
     scripted_store store;
     ledger_segment segment(store, 0, "paced", 1h);
     int written = 0;
     for (int ms = 0; ms < 10000; ++ms) {
         segment.tick(instant(ms * 1000), kUnixSeconds);
-        segment.append(makeRecord(record_type::claim, std::to_string(ms), "w" + std::to_string(ms)),
-                       [&](const append_outcome &reply) { written += reply.status == ledger_status::written ? 1 : 0; });
+        segment.append(
+            makeRecord(record_type::claim, std::to_string(ms), "w" + std::to_string(ms)),
+            [&](const append_outcome &outcome) { written += outcome.status == ledger_status::written ? 1 : 0; });
     }
     segment.tick(11s, kUnixSeconds);
     CHECK(written >= 9900);
-    // 25 at once, then one in 80 ms: 25 + 125 in 10 s, and the last.
+    // A burst of 25, then one per 80 ms: 25 + 125 in 10 s, plus the last tick.
     CHECK(store.store.writes <= 152);
 }
 
@@ -366,20 +367,20 @@
     CHECK(index.size() == 0);
 }
 
-TEST_CASE("a batch at an index below the floor does not count, also for a writer that still reads there")
+TEST_CASE("a batch below the floor is not part of the log, even for a writer with a stale index")
 {
     stale_segment stale;
     const auto claim = makeRecord(record_type::claim, "a", "w");
     stale.store.compact(5, {});
-    // Left by a second writer that was as late: it sent the same record before.
+    // Written by a second writer with an equally stale index, which sent the same record earlier.
     stale.store.objectWrite(batchKey(0, 0), encodeRecords("second-1", {claim}));
     stale.append(claim);
-    REQUIRE(stale.reply.has_value());
-    CHECK(stale.reply->status == ledger_status::written);
+    REQUIRE(stale.outcome.has_value());
+    CHECK(stale.outcome->status == ledger_status::written);
     CHECK(readFromScratch(stale.store.store, 0)["claim a"] == "w");
 }
 
-TEST_CASE("a claim whose batch was compacted before it was verified is not called unavailable")
+TEST_CASE("a claim whose batch was compacted before it was verified is reported as unknown")
 {
     stale_segment stale;
     const auto claim = makeRecord(record_type::claim, "a", "w");
@@ -388,7 +389,7 @@
             return;
         stale.store.compact(1, {claim});
     };
-    // The store goes down once the reload has begun.
+    // The store becomes unavailable once the reload has started.
     const auto compactFirst = stale.store.beforeRead;
     stale.store.beforeRead = [&, compactFirst](const std::string &key) {
         compactFirst(key);
@@ -396,6 +397,6 @@
             stale.store.store.isDown = true;
     };
     stale.append(claim);
-    REQUIRE(stale.reply.has_value());
-    CHECK(stale.reply->status == ledger_status::unknown);
+    REQUIRE(stale.outcome.has_value());
+    CHECK(stale.outcome->status == ledger_status::unknown);
 }
--- a/tests/test_ledger_service.cpp
+++ b/tests/test_ledger_service.cpp
@@ -1,5 +1,5 @@
-// The ledgers of several hosts under lost calls, store outages, pauses and a killed host: a claim must be granted once,
-// and a bill that was answered must end in the log.
+// The ledgers of several hosts with lost calls, store outages, pauses and a killed host. Guards against claims granted
+// twice and acknowledged bills that never reach the log.
 #include "ledger_fakes.h"
 #include "ledger_service_p.h"
 
@@ -29,7 +29,7 @@
 struct ledger_host;
 using host_table = std::map<std::string, std::unique_ptr<ledger_host>>;
 
-/// Calls between hosts: some are lost on the way, some answers on the way back.
+/// Calls between hosts; requests and responses are lost at random.
 class fake_peers : public ledger_peers
 {
 public:
@@ -50,22 +50,22 @@
 private:
     static constexpr auto kCallTimeoutUs = 20000us;
 
-    /// Runs `done` once: with the first answer, or with timed_out.
-    template <typename reply_type>
-    std::function<void(reply_type)> withTimeout(std::function<void(reply_type)> done)
+    /// Calls `done` once, with the first response or with timed_out.
+    template <typename response_type>
+    std::function<void(response_type)> withTimeout(std::function<void(response_type)> done)
     {
         auto isDone = std::make_shared<bool>(false);
-        auto once = [isDone, done](const reply_type &reply) {
+        auto once = [isDone, done](const response_type &response) {
             if (!std::exchange(*isDone, true))
-                done(reply);
+                done(response);
         };
         m_self.deliver(kCallTimeoutUs, [once] {
-            const reply_type failure(error{error_code::timed_out, "peer"});
+            const response_type failure(error{error_code::timed_out, "peer"});
             once(failure);
         });
-        return [this, once](const reply_type &reply) {
+        return [this, once](const response_type &response) {
             if (!m_sim.chance(m_lossPermille))
-                m_self.deliver(instant(200 + m_sim.below(800)), [once, reply] { once(reply); });
+                m_self.deliver(instant(200 + m_sim.below(800)), [once, response] { once(response); });
         };
     }
 
@@ -128,28 +128,29 @@
 
 void fake_peers::append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done)
 {
-    auto reply = withTimeout<result<std::vector<append_outcome>>>(std::move(done));
-    deliver(host, [segment, batch = std::move(batch), reply](ledger_host &target) {
-        target.service.serveAppend(segment, batch, reply);
+    auto respond = withTimeout<result<std::vector<append_outcome>>>(std::move(done));
+    deliver(host, [segment, batch = std::move(batch), respond](ledger_host &target) {
+        target.service.serveAppend(segment, batch, respond);
     });
 }
 
 void fake_peers::copyBills(const std::string &host, std::string batch, std::vector<std::string> release, copy_done done)
 {
-    auto reply = withTimeout<result<bool>>(std::move(done));
-    deliver(host, [name = m_name, batch = std::move(batch), release = std::move(release), reply](ledger_host &target) {
-        reply(target.service.serveCopies(name, batch, release));
-    });
+    auto respond = withTimeout<result<bool>>(std::move(done));
+    deliver(host,
+            [name = m_name, batch = std::move(batch), release = std::move(release), respond](ledger_host &target) {
+                respond(target.service.serveCopies(name, batch, release));
+            });
 }
 
-struct answered_call {
+struct sent_call {
     record_type type = record_type::claim;
     std::string id;
     std::string host;
-    std::optional<append_outcome> reply;
+    std::optional<append_outcome> outcome;
 };
 
-/// Several hosts with one store.
+/// Several hosts that share one store.
 struct ledger_cluster {
     ledger_cluster(std::uint64_t seed, std::size_t count)
         : sim(seed)
@@ -164,17 +165,17 @@
 
     ledger_host &host(std::size_t number) { return *hosts.at("host" + std::to_string(number)); }
 
-    std::shared_ptr<answered_call> send(std::size_t number, record_type type, const std::string &id)
+    std::shared_ptr<sent_call> send(std::size_t number, record_type type, const std::string &id)
     {
-        auto call = std::make_shared<answered_call>();
+        auto call = std::make_shared<sent_call>();
         call->type = type;
         call->id = id;
         call->host = "host" + std::to_string(number);
         auto &target = host(number);
         target.process.deliver(0us, [&target, call] {
-            const auto done = [call](append_outcome reply) {
-                REQUIRE_FALSE(call->reply.has_value());
-                call->reply = std::move(reply);
+            const auto done = [call](append_outcome outcome) {
+                REQUIRE_FALSE(call->outcome.has_value());
+                call->outcome = std::move(outcome);
             };
             if (call->type == record_type::claim)
                 target.service.claim({{}, "studio-legale", call->id}, done);
@@ -207,14 +208,14 @@
     host_table hosts;
 };
 
-/// Where every claim of a host for a key was refused as surely not written, the log holds none of them.
-void checkRefusals(const std::vector<std::shared_ptr<answered_call>> &calls, const effective_writers &log)
+/// If every claim of a host for a key failed with `unavailable`, the log must contain none of them.
+void checkRefusals(const std::vector<std::shared_ptr<sent_call>> &calls, const effective_writers &log)
 {
     std::map<std::pair<std::string, std::string>, bool> allRefused;
     for (const auto &call : calls) {
         if (call->type != record_type::claim)
             continue;
-        const bool isRefused = call->reply && call->reply->status == ledger_status::unavailable;
+        const bool isRefused = call->outcome && call->outcome->status == ledger_status::unavailable;
         auto &entry = allRefused.try_emplace({call->host, call->id}, true).first->second;
         entry = entry && isRefused;
     }
@@ -237,7 +238,7 @@
     const auto pausePermille = permille(40);
     const auto outagePermille = permille(40);
     const bool kills = *rc::gen::inRange(0, 2) == 1;
-    std::vector<std::shared_ptr<answered_call>> calls;
+    std::vector<std::shared_ptr<sent_call>> calls;
     constexpr std::size_t kSteps = 200;
     for (std::size_t step = 0; step < kSteps; ++step) {
         cluster.sim.runUntil(cluster.sim.now() + instant(cluster.sim.below(5000)));
@@ -263,17 +264,17 @@
     std::map<std::string, int> granted;
     for (const auto &call : calls) {
         const bool isAlive = cluster.hosts.at(call->host)->process.isAlive();
-        RC_ASSERT(call->reply.has_value() || !isAlive);
-        if (!call->reply)
+        RC_ASSERT(call->outcome.has_value() || !isAlive);
+        if (!call->outcome)
             continue;
-        const auto status = call->reply->status;
+        const auto status = call->outcome->status;
         const auto key = std::string(nameOf(call->type)) + " " + call->id;
         if (call->type == record_type::claim && status == ledger_status::written) {
             RC_ASSERT(++granted[call->id] == 1);
             RC_ASSERT(log.contains(key));
             RC_ASSERT(log.at(key).starts_with(call->host + "-"));
         }
-        // One failure at a time: a copy whose holder was killed is made again, as its host is alive.
+        // At most one host is killed: if it held a copy, the bill's own host is alive and makes another copy.
         if (call->type == record_type::bill && (status != ledger_status::unknown || isAlive))
             RC_ASSERT(log.contains(key));
     }
@@ -288,7 +289,7 @@
 
 } // namespace
 
-TEST_CASE("hosts grant a claim once and lose no answered bill under lost calls, outages, pauses and a killed host")
+TEST_CASE("hosts grant a claim once and lose no acknowledged bill with lost calls, outages, pauses and a killed host")
 {
     setenv("RC_PARAMS", "seed=20261203 max_success=200", 0);
     CHECK(rc::check(runRandomCluster));
@@ -302,10 +303,10 @@
     const auto bill = cluster.send(0, record_type::bill, "b");
     const auto claim = cluster.send(0, record_type::claim, "c");
     cluster.sim.runUntil(200ms);
-    REQUIRE(bill->reply.has_value());
-    CHECK(bill->reply->status == ledger_status::copied);
-    REQUIRE(claim->reply.has_value());
-    CHECK(claim->reply->status == ledger_status::unavailable);
+    REQUIRE(bill->outcome.has_value());
+    CHECK(bill->outcome->status == ledger_status::copied);
+    REQUIRE(claim->outcome.has_value());
+    CHECK(claim->outcome->status == ledger_status::unavailable);
     CHECK(cluster.host(0).service.uncopiedBills() == 0);
     CHECK(cluster.host(2).service.keptCopies() == 0); // host2 is in the failure domain of host0
     CHECK(cluster.host(1).service.keptCopies() + cluster.host(3).service.keptCopies() == 1);
@@ -316,7 +317,8 @@
     CHECK(cluster.host(1).service.keptCopies() + cluster.host(3).service.keptCopies() == 0);
 }
 
-TEST_CASE("a copy is made again when its holder goes, and released when the bill is written")
+TEST_CASE(
+    "a bill is copied again when the holder of its copy is gone, and the copy is released once the bill is written")
 {
     ledger_cluster cluster(2, 4);
     cluster.sim.runUntil(100ms);
@@ -333,22 +335,22 @@
     CHECK(cluster.host(4 - holder).service.keptCopies() == 0);
 }
 
-TEST_CASE("pins in an outage are made by a loaded owner, hold, and are written afterwards")
+TEST_CASE("an owner that has loaded the log creates pins during an outage and writes them afterwards")
 {
     ledger_cluster cluster(3, 3);
     cluster.sim.runUntil(100ms);
     const auto before = cluster.send(0, record_type::pin, "early");
     cluster.sim.runUntil(200ms);
-    CHECK(before->reply->status == ledger_status::written);
+    CHECK(before->outcome->status == ledger_status::written);
     cluster.store.isDown = true;
     const auto first = cluster.send(1, record_type::pin, "s");
     cluster.sim.runUntil(300ms);
     const auto second = cluster.send(2, record_type::pin, "s");
     cluster.sim.runUntil(400ms);
-    REQUIRE(first->reply.has_value());
-    REQUIRE(second->reply.has_value());
-    CHECK(first->reply->status == ledger_status::exists_pinned);
-    CHECK(second->reply->pins == first->reply->pins);
+    REQUIRE(first->outcome.has_value());
+    REQUIRE(second->outcome.has_value());
+    CHECK(first->outcome->status == ledger_status::exists_pinned);
+    CHECK(second->outcome->pins == first->outcome->pins);
     cluster.store.isDown = false;
     cluster.sim.runUntil(1s);
     CHECK(cluster.log().contains("pin s"));
@@ -360,21 +362,21 @@
     cluster.store.isDown = true;
     const auto pin = cluster.send(0, record_type::pin, "s");
     cluster.sim.runUntil(200ms);
-    REQUIRE(pin->reply.has_value());
-    CHECK(pin->reply->status == ledger_status::unavailable);
+    REQUIRE(pin->outcome.has_value());
+    CHECK(pin->outcome->status == ledger_status::unavailable);
 }
 
-TEST_CASE("a silent owner is passed by and its host's records are written by their senders")
+TEST_CASE("records for an unresponsive owner are written by their senders")
 {
     ledger_cluster cluster(5, 3);
     cluster.sim.runUntil(100ms);
     for (std::size_t i = 0; i < 3; ++i)
         cluster.host(i).process.pause(i == 1 ? 10s : 0s);
-    std::vector<std::shared_ptr<answered_call>> calls;
+    std::vector<std::shared_ptr<sent_call>> calls;
     calls.reserve(20);
     for (int i = 0; i < 20; ++i)
         calls.push_back(cluster.send(i % 2 == 0 ? 0 : 2, record_type::claim, std::to_string(i)));
     cluster.sim.runUntil(1s);
     CHECK(std::ranges::all_of(
-        calls, [](const auto &call) { return call->reply && call->reply->status == ledger_status::written; }));
+        calls, [](const auto &call) { return call->outcome && call->outcome->status == ledger_status::written; }));
 }
