--- a/tests/feed_recorder.h
+++ b/tests/feed_recorder.h
@@ -1,4 +1,4 @@
-// Listener to a feed that keeps what it was told.
+// Feed listener that records what it receives.
 #pragma once
 
 #include "fleet_feed_p.h"
@@ -8,8 +8,8 @@
 
 struct feed_recorder : fleet_listener {
     std::vector<gateway_config_ptr> configs;
-    int confirmed = 0;
-    std::vector<std::string> replicas; ///< ids that hold
+    int confirmations = 0;
+    std::vector<std::string> replicas; ///< ids of the current replicas
     std::vector<rollout_order> orders;
     std::vector<std::string> events;
     bool isReachable = false;
@@ -18,7 +18,7 @@
     std::vector<replica_load> others;
 
     void onConfig(gateway_config_ptr config) override { configs.push_back(std::move(config)); }
-    void onConfigConfirmed(instant) override { ++confirmed; }
+    void onConfigConfirmed(instant) override { ++confirmations; }
     void onReplicaList(std::vector<replica_entry> list) override
     {
         replicas.clear();
@@ -40,9 +40,9 @@
     {
         events.push_back(std::string(type) + ' ' + subject);
     }
-    [[nodiscard]] bool hasEvent(const std::string &note) const
+    [[nodiscard]] bool hasEvent(const std::string &event) const
     {
-        return std::ranges::find(events, note) != events.end();
+        return std::ranges::find(events, event) != events.end();
     }
 };
 
--- a/tests/standin_store.cpp
+++ b/tests/standin_store.cpp
@@ -1,4 +1,4 @@
-// Stand-in of the platform's object store; see standin_store.h.
+// Emulator of the platform's object store; see standin_store.h.
 #include "standin_store.h"
 
 #include "http_status_p.h"
@@ -15,7 +15,7 @@
 
 constexpr const char *kPrefix = "/v1/objects/";
 
-std::uint64_t numberIn(const std::map<std::string, std::string> &query, const char *name)
+std::uint64_t queryNumber(const std::map<std::string, std::string> &query, const char *name)
 {
     const auto found = query.find(name);
     return found == query.end() ? 0 : std::stoull(found->second);
@@ -52,13 +52,13 @@
 {
     auto &object = m_objects[kind][name];
     object.spec = std::move(spec);
-    note(kind, name, false);
+    recordChange(kind, name, false);
     return m_revision;
 }
 
 void standin_store::remove(const std::string &kind, const std::string &name)
 {
-    note(kind, name, true);
+    recordChange(kind, name, true);
     m_objects[kind].erase(name);
 }
 
@@ -70,29 +70,29 @@
     return objects->second.at(name).status;
 }
 
-/// Gives an object its next revision, and wakes the watches of its kind.
-void standin_store::note(const std::string &kind, const std::string &name, bool isRemoved)
+/// Assigns the object the next revision and responds to the open watches of its kind.
+void standin_store::recordChange(const std::string &kind, const std::string &name, bool isRemoved)
 {
     auto &object = m_objects[kind][name];
     object.revision = ++m_revision;
     if (object.created == 0)
         object.created = m_revision;
     m_changes.push_back({m_revision, kind, name, isRemoved, render(name, object)});
-    std::erase_if(m_waiting, [this](const auto &watch) { return answerWatch(watch, false); });
+    std::erase_if(m_waiting, [this](const auto &watch) { return respondToWatch(watch, false); });
 }
 
 void standin_store::discardHistory()
 {
     m_changes.clear();
-    m_oldest = ++m_revision;
+    m_oldestRevision = ++m_revision;
     for (auto &watch : std::exchange(m_waiting, {}))
         watch.exchange->drop();
 }
 
-void standin_store::setState(store_state mood)
+void standin_store::setState(store_state state)
 {
-    m_mood = mood;
-    for (auto &exchange : std::exchange(m_unanswered, {}))
+    m_state = state;
+    for (auto &exchange : std::exchange(m_openExchanges, {}))
         exchange->drop();
     for (auto &watch : std::exchange(m_waiting, {}))
         watch.exchange->drop();
@@ -101,7 +101,7 @@
 void standin_store::serve(const http_exchange_ptr &exchange)
 {
     ++calls;
-    if (refuse(exchange))
+    if (handleFailureState(exchange))
         return;
     if (!exchange->path.starts_with(kPrefix))
         return exchange->reply(http_status::kNotFound, {});
@@ -116,18 +116,18 @@
     serveList(parts[0], exchange);
 }
 
-/// @returns whether the mood has dealt with the call.
-bool standin_store::refuse(const http_exchange_ptr &exchange)
+/// @returns whether the call was handled by an injected failure.
+bool standin_store::handleFailureState(const http_exchange_ptr &exchange)
 {
-    if (m_mood == store_state::refusing)
+    if (m_state == store_state::refusing)
         exchange->reply(http_status::kServiceUnavailable, {});
-    else if (m_mood == store_state::limiting)
+    else if (m_state == store_state::limiting)
         exchange->reply(http_status::kTooManyRequests, {});
-    else if (m_mood == store_state::dropping)
+    else if (m_state == store_state::dropping)
         exchange->drop();
-    else if (m_mood == store_state::silent)
-        m_unanswered.push_back(exchange);
-    return m_mood != store_state::serving;
+    else if (m_state == store_state::silent)
+        m_openExchanges.push_back(exchange);
+    return m_state != store_state::serving;
 }
 
 void standin_store::serveList(const std::string &kind, const http_exchange_ptr &exchange)
@@ -149,35 +149,35 @@
 
 void standin_store::serveWatch(const std::string &kind, const http_exchange_ptr &exchange)
 {
-    const auto after = numberIn(exchange->query, "watch");
-    if (after < m_oldest) {
+    const auto after = queryNumber(exchange->query, "watch");
+    if (after < m_oldestRevision) {
         ++goneResponses;
         return exchange->reply(http_status::kGone, {});
     }
     const waiting_watch watch{kind, after, exchange};
-    if (answerWatch(watch, false))
+    if (respondToWatch(watch, false))
         return;
     m_waiting.push_back(watch);
     const auto isThis = [exchange](const auto &other) {
         return other.exchange == exchange;
     };
-    m_loop.after(std::chrono::milliseconds(numberIn(exchange->query, "wait_ms")), [this, isThis] {
+    m_loop.after(std::chrono::milliseconds(queryNumber(exchange->query, "wait_ms")), [this, isThis] {
         const auto found = std::ranges::find_if(m_waiting, isThis);
         if (found == m_waiting.end())
             return;
-        answerWatch(*found, true);
+        respondToWatch(*found, true);
         m_waiting.erase(found);
     });
 }
 
-/// @returns whether the watch was answered: there are changes, or its wait has ended.
-bool standin_store::answerWatch(const waiting_watch &watch, bool isDue)
+/// Responds if there are changes or the wait has ended. @returns whether it responded.
+bool standin_store::respondToWatch(const waiting_watch &watch, bool hasWaitEnded)
 {
     json events = json::array();
     for (const auto &entry : m_changes)
         if (entry.kind == watch.kind && entry.revision > watch.after)
             events.push_back({{"object", entry.object}, {"removed", entry.isRemoved}});
-    if (events.empty() && !isDue)
+    if (events.empty() && !hasWaitEnded)
         return false;
     watch.exchange->reply(http_status::kOk, json{{"events", events}, {"at", m_revision}}.dump());
     return true;
@@ -188,13 +188,13 @@
 {
     const auto body = json::parse(exchange->body, nullptr, false);
     if (writeOutcome == write_outcome::late) {
-        m_unanswered.push_back(exchange);
+        m_openExchanges.push_back(exchange);
         m_loop.after(writeDelay, [this, kind, name, isStatus, body] { write(kind, name, isStatus, body); });
         return;
     }
     const int status = write(kind, name, isStatus, body);
     if (writeOutcome == write_outcome::response_lost)
-        m_unanswered.push_back(exchange);
+        m_openExchanges.push_back(exchange);
     else
         exchange->reply(status, {});
 }
@@ -207,15 +207,15 @@
     if (isNew && isStatus)
         return http_status::kNotFound;
     auto &object = m_objects[kind][name];
-    const auto wanted = body.value("metadata", json::object()).value("revision", object.revision);
-    if (wanted != object.revision)
+    const auto expectedRevision = body.value("metadata", json::object()).value("revision", object.revision);
+    if (expectedRevision != object.revision)
         return http_status::kConflict;
     auto &part = isStatus ? object.status : object.spec;
     const auto value = body.value(isStatus ? "status" : "spec", json());
     if (!isNew && part == value)
         return http_status::kOk;
     part = value;
-    note(kind, name, false);
+    recordChange(kind, name, false);
     return http_status::kOk;
 }
 
--- a/tests/standin_store.h
+++ b/tests/standin_store.h
@@ -1,5 +1,5 @@
-// Stand-in of the platform's object store over HTTP, in the test's process: objects by kind and name with revisions,
-// pages of lists, watches with a limited history, conditional writes, and the ways in which the store fails.
+// In-process HTTP emulator of the platform's object store: objects by kind and name with revisions, paged lists,
+// watches with a limited history, conditional writes, and injected failures.
 #pragma once
 
 #include "http_server_p.h"
@@ -10,21 +10,21 @@
 namespace foxtaildyke
 {
 
-/// How the store treats calls.
+/// How the store handles calls.
 enum class store_state : std::uint8_t {
     serving,
     refusing, ///< 503
     limiting, ///< 429
     dropping, ///< closes each connection
-    silent, ///< reads and never answers
+    silent, ///< reads requests and never responds
     count
 };
 
-/// What becomes of writes.
+/// How writes end.
 enum class write_outcome : std::uint8_t {
     answered,
-    response_lost, ///< done, and the answer is lost
-    late, ///< done after writeDelay, and never answered
+    response_lost, ///< applied, but the response is lost
+    late, ///< applied after writeDelay, and never responded to
     count
 };
 
@@ -33,15 +33,15 @@
 public:
     explicit standin_store(event_loop &loop);
 
-    /// Creates or replaces what an object holds; its status stays. @returns its revision.
+    /// Creates an object or replaces its spec; its status is retained. @returns its revision.
     std::uint64_t put(const std::string &kind, const std::string &name, nlohmann::json spec);
     void remove(const std::string &kind, const std::string &name);
     [[nodiscard]] nlohmann::json statusOf(const std::string &kind, const std::string &name) const;
 
-    /// Forgets all changes until now: older watches get 410.
+    /// Discards all changes so far; watches from an older revision get 410.
     void discardHistory();
-    /// Changes how calls are treated; watches that wait are cut off.
-    void setState(store_state mood);
+    /// Changes how calls are handled and drops the connections of all open calls.
+    void setState(store_state state);
 
     http_endpoint endpoint{"127.0.0.1", 0};
     write_outcome writeOutcome = write_outcome::answered;
@@ -49,7 +49,7 @@
     std::size_t pageItems = 500; ///< objects in one page of a list
     std::uint64_t lists = 0; ///< calls that listed a kind
     std::uint64_t calls = 0;
-    std::uint64_t goneResponses = 0; ///< watches that were answered with 410
+    std::uint64_t goneResponses = 0; ///< watches that got 410
 
 private:
     struct stored_object {
@@ -63,7 +63,7 @@
         std::string kind;
         std::string name;
         bool isRemoved = false;
-        nlohmann::json object; ///< as it was then
+        nlohmann::json object; ///< rendered at that revision
     };
     struct waiting_watch {
         std::string kind;
@@ -73,23 +73,23 @@
     using object_map = std::map<std::string, stored_object>; ///< by name
 
     void serve(const http_exchange_ptr &exchange);
-    bool refuse(const http_exchange_ptr &exchange);
+    bool handleFailureState(const http_exchange_ptr &exchange);
     void serveList(const std::string &kind, const http_exchange_ptr &exchange);
     void serveWatch(const std::string &kind, const http_exchange_ptr &exchange);
-    bool answerWatch(const waiting_watch &watch, bool isDue);
+    bool respondToWatch(const waiting_watch &watch, bool hasWaitEnded);
     void serveWrite(const std::string &kind, const std::string &name, bool isStatus, const http_exchange_ptr &exchange);
     int write(const std::string &kind, const std::string &name, bool isStatus, const nlohmann::json &body);
-    void note(const std::string &kind, const std::string &name, bool isRemoved);
+    void recordChange(const std::string &kind, const std::string &name, bool isRemoved);
     [[nodiscard]] static nlohmann::json render(const std::string &name, const stored_object &object);
 
     event_loop &m_loop;
     std::map<std::string, object_map> m_objects; ///< by kind
-    std::vector<change> m_changes; ///< since m_oldest
+    std::vector<change> m_changes; ///< after m_oldestRevision
     std::vector<waiting_watch> m_waiting;
-    std::vector<http_exchange_ptr> m_unanswered; ///< kept open without an answer
+    std::vector<http_exchange_ptr> m_openExchanges; ///< kept open without a response
     std::uint64_t m_revision = 100;
-    std::uint64_t m_oldest = 100; ///< watches from before this revision get 410
-    store_state m_mood = store_state::serving;
+    std::uint64_t m_oldestRevision = 100; ///< watches from an earlier revision get 410
+    store_state m_state = store_state::serving;
     http_server m_server;
 };
 
--- a/tests/test_feed_relay.cpp
+++ b/tests/test_feed_relay.cpp
@@ -1,4 +1,5 @@
-// Hosts that read the store for others: who follows them, what is handed on, and what happens when one is lost.
+// Tests of relays, the hosts that read the store for others: which hosts follow them, what they forward, and what
+// happens when one fails.
 #include "failure_support.h"
 #include "feed_recorder.h"
 #include "gateway_harness.h"
@@ -11,10 +12,10 @@
 namespace
 {
 
-const http_endpoint kOne{"10.0.0.1", 7};
-const http_endpoint kTwo{"10.0.0.2", 7};
+const http_endpoint kFirstRelay{"10.0.0.1", 7};
+const http_endpoint kSecondRelay{"10.0.0.2", 7};
 
-platform::item_event change(const std::string &name, std::uint64_t revision, bool isRemoved = false)
+platform::item_event makeEvent(const std::string &name, std::uint64_t revision, bool isRemoved = false)
 {
     return {isRemoved, {name, revision, 1, {{"service", "s"}}, {}}};
 }
@@ -30,14 +31,14 @@
             {"version", "v1"}, {"batch_slots", 8},         {"state", "ready"}};
 }
 
-/// A relay and hosts that may follow it, before a stand-in of the store.
+/// A relay and hosts that may follow it, connected to an emulated store.
 struct relayed_hosts : test_loop {
     struct host {
         host(event_loop &loop, const http_endpoint &store, platform::relay_addresses addresses)
             : feed(loop, store, {300ms, 300ms}, std::move(addresses))
         {
         }
-        feed_recorder seen;
+        feed_recorder recorder;
         platform::store_feed feed;
     };
 
@@ -47,11 +48,11 @@
         store.put("servers", "r1", replicaSpec());
         relay = std::make_unique<host>(loop, store.endpoint, addressesOf("relay", address));
         REQUIRE(relay->feed.listen().has_value());
-        relay->feed.start(relay->seen);
+        relay->feed.start(relay->recorder);
         for (int i = 0; i < followers; ++i) {
             const auto name = "host-" + std::to_string(i);
             hosts.push_back(std::make_unique<host>(loop, store.endpoint, addressesOf(name, {"127.0.0.1", 1})));
-            hosts.back()->feed.start(hosts.back()->seen);
+            hosts.back()->feed.start(hosts.back()->recorder);
         }
     }
 
@@ -60,15 +61,15 @@
         return {name, {address}, own};
     }
 
-    [[nodiscard]] bool allHave(const std::string &note) const
+    [[nodiscard]] bool allRecorded(const std::string &event) const
     {
-        return std::ranges::all_of(hosts, [&](const auto &host) { return host->seen.hasEvent(note); });
+        return std::ranges::all_of(hosts, [&](const auto &host) { return host->recorder.hasEvent(event); });
     }
 
-    [[nodiscard]] bool allKnow(const std::string &replica) const
+    [[nodiscard]] bool allHaveReplica(const std::string &replica) const
     {
         return std::ranges::all_of(hosts, [&](const auto &host) {
-            return std::ranges::find(host->seen.replicas, replica) != host->seen.replicas.end();
+            return std::ranges::find(host->recorder.replicas, replica) != host->recorder.replicas.end();
         });
     }
 
@@ -80,12 +81,12 @@
 
 } // namespace
 
-TEST_CASE("relay choice: a relay reads the store itself, others ask the relays in an order of their own")
+TEST_CASE("relay choice: a relay reads the store itself, others query the relays in a per-host order")
 {
-    relay_choice own("a", {kOne, kTwo}, kOne);
+    relay_choice own("a", {kFirstRelay, kSecondRelay}, kFirstRelay);
     CHECK(own.isRelay());
     CHECK(own.next(1s) == nullptr);
-    relay_choice other("b", {kOne, kTwo}, {"10.0.0.3", 7});
+    relay_choice other("b", {kFirstRelay, kSecondRelay}, {"10.0.0.3", 7});
     REQUIRE(other.next(1s));
     const auto first = *other.next(1s);
     other.recordFailure(first, false, 1s);
@@ -93,19 +94,20 @@
     const auto second = *other.next(2s);
     CHECK(second != first);
     other.recordFailure(second, false, 2s);
-    CHECK(other.next(3s) == nullptr); // it reads the store
+    CHECK(other.next(3s) == nullptr); // falls back to the store
     CHECK(*other.next(1s + relay_choice::kFailureBackoff) == first);
     other.recordFailure(first, true, 4s);
-    CHECK(*other.next(4s) == first); // it will know first that the store is back
-    CHECK(relay_choice("c", {}, kOne).next(1s) == nullptr);
+    CHECK(*other.next(4s) == first); // a relay learns first that the store is reachable again
+    CHECK(relay_choice("c", {}, kFirstRelay).next(1s) == nullptr);
     int onFirst = 0;
     for (int i = 0; i < 100; ++i)
-        onFirst += *relay_choice("host-" + std::to_string(i), {kOne, kTwo}, {}).next(1s) == kOne ? 1 : 0;
+        onFirst +=
+            *relay_choice("host-" + std::to_string(i), {kFirstRelay, kSecondRelay}, {}).next(1s) == kFirstRelay ? 1 : 0;
     CHECK(onFirst > 30);
     CHECK(onFirst < 70);
 }
 
-TEST_CASE("relay choice: small fleets have no relay, and old or partial data isn't handed on")
+TEST_CASE("relay choice: small fleets have no relay, and stale or partial data isn't forwarded")
 {
     relay_audience audience;
     for (int i = 0; i < 5; ++i)
@@ -115,7 +117,7 @@
     CHECK_FALSE(relay_choice::shouldFollow(audience.size(2s)));
     audience.recordQuery("host-5", 2s);
     CHECK(relay_choice::shouldFollow(audience.size(2s)));
-    CHECK_FALSE(relay_choice::shouldFollow(audience.size(11'500ms))); // hosts that have gone
+    CHECK_FALSE(relay_choice::shouldFollow(audience.size(11'500ms))); // queries of absent hosts expire
 
     CHECK(relay_audience::mayRespond(10s, true, 10s + relay_audience::kMaxConfirmationAge));
     CHECK_FALSE(relay_audience::mayRespond(10s, true, 10'001ms + relay_audience::kMaxConfirmationAge));
@@ -123,37 +125,37 @@
     CHECK_FALSE(relay_audience::mayRespond(std::nullopt, true, 10s));
 }
 
-TEST_CASE("kind mirror: changes since a revision, or the whole list where they are forgotten")
+TEST_CASE("kind mirror: changes since a revision, or the complete list once they are evicted")
 {
     platform::kind_mirror mirror;
     CHECK_FALSE(mirror.isComplete());
-    mirror.applyList({{change("a", 3), change("b", 4)}, false, 10});
+    mirror.applyList({{makeEvent("a", 3), makeEvent("b", 4)}, false, 10});
     const auto all = platform::decodeFeed(encodedUpdates(mirror, 0)).value().kinds.at("servers");
     CHECK(all.isList);
     CHECK(all.page.items.size() == 2);
     CHECK(all.page.revision == 10);
 
     CHECK_FALSE(mirror.hasUpdatesFor(10));
-    mirror.applyEvents({{change("c", 11), change("a", 3, true)}, false, 12});
+    mirror.applyEvents({{makeEvent("c", 11), makeEvent("a", 3, true)}, false, 12});
     CHECK(mirror.hasUpdatesFor(10));
     CHECK_FALSE(mirror.hasUpdatesFor(12));
-    const auto news = platform::decodeFeed(encodedUpdates(mirror, 10)).value().kinds.at("servers");
-    CHECK_FALSE(news.isList);
-    REQUIRE(news.page.items.size() == 2);
-    CHECK(news.page.items[1].isRemoved);
-    CHECK(news.page.items[0].item.spec["service"] == "s");
-    // A host that has read the store itself may be ahead; it is not taken back.
+    const auto updates = platform::decodeFeed(encodedUpdates(mirror, 10)).value().kinds.at("servers");
+    CHECK_FALSE(updates.isList);
+    REQUIRE(updates.page.items.size() == 2);
+    CHECK(updates.page.items[1].isRemoved);
+    CHECK(updates.page.items[0].item.spec["service"] == "s");
+    // A host that has read the store itself may be ahead; its revision must not go back.
     const auto ahead = platform::decodeFeed(encodedUpdates(mirror, 20)).value().kinds.at("servers");
     CHECK(ahead.page.items.empty());
     CHECK(ahead.page.revision == 20);
 
     for (std::uint64_t i = 13; i < 13 + 600; ++i)
-        mirror.applyEvents({{change("d", i)}, false, i});
+        mirror.applyEvents({{makeEvent("d", i)}, false, i});
     CHECK(platform::decodeFeed(encodedUpdates(mirror, 12)).value().kinds.at("servers").isList);
     CHECK_FALSE(platform::decodeFeed(encodedUpdates(mirror, 600)).value().kinds.at("servers").isList);
 }
 
-TEST_CASE("kind mirror: an answer that can't be used is refused with the field")
+TEST_CASE("kind mirror: a malformed response is rejected with the name of the field")
 {
     for (const std::string body :
          {"", "[]", "{}", R"({"config_age_ms":-1,"kinds":{}})",
@@ -161,76 +163,77 @@
         CHECK(platform::decodeFeed(body).has_error());
 }
 
-TEST_CASE("feed relay: many hosts follow it, learn changes at once, and cost the store nothing")
+TEST_CASE("feed relay: many hosts follow it and receive changes at once without calling the store")
 {
     relayed_hosts net(8);
-    REQUIRE(net.runUntil([&] { return net.allHave("relay_followed 127.0.0.1"); }));
-    net.runFor(400ms); // the relay's own watches
-    const auto before = net.store.calls;
+    REQUIRE(net.runUntil([&] { return net.allRecorded("relay_followed 127.0.0.1"); }));
+    net.runFor(400ms); // lets the relay's own watches settle
+    const auto callsBefore = net.store.calls;
     for (int i = 0; i < 5; ++i) {
         net.store.put("servers", "more-" + std::to_string(i), replicaSpec());
-        REQUIRE(net.runUntil([&] { return net.allKnow("more-" + std::to_string(i)); }));
+        REQUIRE(net.runUntil([&] { return net.allHaveReplica("more-" + std::to_string(i)); }));
     }
-    // One watch of each kind for each change at most, by the relay alone.
-    CHECK(net.store.calls - before < 30);
-    CHECK(net.hosts[0]->seen.fleetSize == 8); // one relay
-    net.relay->seen.own = {{"r1", 1, 5}};
-    net.hosts[1]->seen.own = {{"r1", 2, 10}};
-    net.hosts[2]->seen.own = {{"r1", 4, 20}};
+    // At most one watch per kind and change, by the relay alone.
+    CHECK(net.store.calls - callsBefore < 30);
+    CHECK(net.hosts[0]->recorder.fleetSize == 8); // one relay
+    net.relay->recorder.own = {{"r1", 1, 5}};
+    net.hosts[1]->recorder.own = {{"r1", 2, 10}};
+    net.hosts[2]->recorder.own = {{"r1", 4, 20}};
     CHECK(net.runUntil([&] {
-        const auto &others = net.hosts[1]->seen.others;
+        const auto &others = net.hosts[1]->recorder.others;
         return others.size() == 1 && others[0].running == 5 && others[0].backlogMs == 25;
     }));
     CHECK(net.runUntil([&] {
-        const auto &others = net.relay->seen.others;
+        const auto &others = net.relay->recorder.others;
         return others.size() == 1 && others[0].running == 6;
     }));
     net.store.remove("servers", "more-0");
-    CHECK(net.runUntil([&] { return !net.allKnow("more-0"); }));
+    CHECK(net.runUntil([&] { return !net.allHaveReplica("more-0"); }));
     net.store.put("config", "main", {{"version", 2}});
     CHECK(net.runUntil([&] {
-        return std::ranges::all_of(net.hosts, [](const auto &host) { return host->seen.configs.back()->version == 2; });
+        return std::ranges::all_of(net.hosts,
+                                   [](const auto &host) { return host->recorder.configs.back()->version == 2; });
     }));
 }
 
-TEST_CASE("feed relay: when it is gone or has lost the store, the hosts read the store themselves")
+TEST_CASE("feed relay: after it stops or loses the store, the hosts read the store themselves")
 {
     for (const bool isGone : {true, false}) {
         relayed_hosts net(8);
-        REQUIRE(net.runUntil([&] { return net.allHave("relay_followed 127.0.0.1"); }));
+        REQUIRE(net.runUntil([&] { return net.allRecorded("relay_followed 127.0.0.1"); }));
         if (isGone)
             net.relay.reset();
         else
             net.store.setState(store_state::silent);
-        REQUIRE(net.runUntil([&] { return net.allHave("relay_lost 127.0.0.1"); }));
+        REQUIRE(net.runUntil([&] { return net.allRecorded("relay_lost 127.0.0.1"); }));
         net.store.setState(store_state::serving);
         net.store.put("servers", "later", replicaSpec());
-        CHECK(net.runUntil([&] { return net.allKnow("later"); }));
+        CHECK(net.runUntil([&] { return net.allHaveReplica("later"); }));
     }
 }
 
-TEST_CASE("feed relay: while the store refuses, few calls look for it, and all hosts notice its return")
+TEST_CASE("feed relay: while the store refuses calls, hosts probe it rarely, and all of them detect its recovery")
 {
     relayed_hosts net(8);
-    REQUIRE(net.runUntil([&] { return net.allHave("relay_followed 127.0.0.1"); }));
+    REQUIRE(net.runUntil([&] { return net.allRecorded("relay_followed 127.0.0.1"); }));
     net.store.setState(store_state::refusing);
-    REQUIRE(net.runUntil([&] { return net.allHave("store_lost servers"); }));
-    const auto before = net.store.calls;
+    REQUIRE(net.runUntil([&] { return net.allRecorded("store_lost servers"); }));
+    const auto callsBefore = net.store.calls;
     net.runFor(3s);
-    // The relay tries each 0.4 s, the others after 0.1, 0.2, 0.4, 0.8, 1.6 s: 8 and 5 calls, besides the first for each
-    // kind.
-    CHECK(net.store.calls - before < 12 + 8 * 8);
+    // The relay retries every 0.4 s, the others after 0.1, 0.2, 0.4, 0.8 and 1.6 s: 8 and 5 calls, besides the first
+    // call of each kind.
+    CHECK(net.store.calls - callsBefore < 12 + 8 * 8);
     net.store.setState(store_state::serving);
     net.store.put("servers", "later", replicaSpec());
-    CHECK(net.runUntil([&] { return net.allKnow("later"); }));
+    CHECK(net.runUntil([&] { return net.allHaveReplica("later"); }));
 }
 
-TEST_CASE("feed relay: a few hosts read the store themselves")
+TEST_CASE("feed relay: in a small fleet, hosts read the store themselves")
 {
     relayed_hosts net(3);
     net.runFor(2 * relay_choice::kPollInterval + 500ms);
     for (const auto &host : net.hosts)
-        CHECK_FALSE(host->seen.hasEvent("relay_followed 127.0.0.1"));
+        CHECK_FALSE(host->recorder.hasEvent("relay_followed 127.0.0.1"));
     net.store.put("servers", "later", replicaSpec());
-    CHECK(net.runUntil([&] { return net.allKnow("later"); }));
+    CHECK(net.runUntil([&] { return net.allHaveReplica("later"); }));
 }
--- a/tests/test_store_feed.cpp
+++ b/tests/test_store_feed.cpp
@@ -1,4 +1,4 @@
-// The adapter to the platform's store: lists, watches, entries of other writers, and a store that is away.
+// Tests of the adapter to the platform's store: lists, watches, invalid entries and an unreachable store.
 #include "feed_recorder.h"
 #include "loopback_p.h"
 #include "store_feed.h"
@@ -31,13 +31,13 @@
     return R"({"events":[)" + events + R"(],"at":)" + std::to_string(revision) + "}";
 }
 
-/// A store that answers lists by a table, and watches by a function.
+/// Store whose list responses come from a table and whose watch responses come from a function.
 struct scripted_store : loopback {
     std::map<std::string, std::string> lists{{"config", listOf("")}, {"servers", listOf("")}, {"rollouts", listOf("")}};
     std::function<void(const std::string &kind, const http_exchange_ptr &)> onWatch;
-    std::vector<http_exchange_ptr> waiting; ///< watches without an answer
+    std::vector<http_exchange_ptr> waiting; ///< watches without a response
     std::vector<std::string> waits; ///< wait_ms of each watch of the configuration
-    feed_recorder seen;
+    feed_recorder recorder;
     platform::store_feed feed{loop, endpoint, {200ms, 200ms}};
 
     scripted_store()
@@ -54,15 +54,15 @@
         };
     }
 
-    /// Runs until the condition holds; a test that hangs ends with false.
+    /// Runs until the condition holds. @returns false if it doesn't hold within the time limit.
     bool runUntil(const std::function<bool()> &condition)
     {
-        std::function<void()> look = [&] {
+        std::function<void()> poll = [&] {
             if (condition())
                 return loop.stop();
-            loop.after(5ms, look);
+            loop.after(5ms, poll);
         };
-        look();
+        poll();
         return run();
     }
 };
@@ -81,10 +81,11 @@
     store.lists["servers"] = listOf(object("i1", replicaSpec()));
     store.lists["rollouts"] = listOf(object("s", R"({"service":"s","target":"v2","duration_s":12})",
                                             R"({"state":"in_progress","target":"v2","stage":2})"));
-    store.feed.start(store.seen);
-    REQUIRE(store.runUntil(
-        [&] { return !store.seen.configs.empty() && !store.seen.orders.empty() && !store.seen.replicas.empty(); }));
-    const auto &config = *store.seen.configs[0];
+    store.feed.start(store.recorder);
+    REQUIRE(store.runUntil([&] {
+        return !store.recorder.configs.empty() && !store.recorder.orders.empty() && !store.recorder.replicas.empty();
+    }));
+    const auto &config = *store.recorder.configs[0];
     CHECK(config.version == 9);
     REQUIRE(config.routes.size() == 1);
     CHECK(config.routes[0].retryRule == retry_rule::stream);
@@ -95,12 +96,12 @@
     REQUIRE(config.findAccount("k2"));
     CHECK(config.findAccount("k2")->name == "a");
     CHECK(config.findService("s")->engine->modelCosts.at("m0") == doctest::Approx(0.1));
-    CHECK(store.seen.orders[0].state == rollout_state::in_progress);
-    CHECK(store.seen.orders[0].stage == 2);
-    CHECK(store.seen.orders[0].duration == 12s);
+    CHECK(store.recorder.orders[0].state == rollout_state::in_progress);
+    CHECK(store.recorder.orders[0].stage == 2);
+    CHECK(store.recorder.orders[0].duration == 12s);
 }
 
-TEST_CASE("store feed: a status of an earlier order says nothing about a new one")
+TEST_CASE("store feed: the status of an earlier order is ignored for a new one")
 {
     platform::stored_item item;
     item.name = "s";
@@ -109,7 +110,7 @@
     CHECK(platform::decodeRollout(item).value().state == rollout_state::ordered);
 }
 
-TEST_CASE("store feed: an entry that can't be used names no replica, and the others hold")
+TEST_CASE("store feed: an invalid entry yields no replica and doesn't affect the others")
 {
     scripted_store store;
     store.lists["servers"] =
@@ -117,14 +118,14 @@
                + object("no-address", R"({"service":"s","state":"ready","zone":"d","version":"v","batch_slots":1})")
                + "," + object("wrong-type", R"({"service":5,"address":[],"state":"ready"})") + ","
                + object("bytes", "\"\\u0001\"") + "," + object("null", "null") + ",17");
-    store.feed.start(store.seen);
-    REQUIRE(store.runUntil([&] { return !store.seen.replicas.empty(); }));
-    CHECK(store.seen.replicas == std::vector<std::string>{"good"});
-    CHECK(store.seen.hasEvent("replica_unusable odd-state"));
-    CHECK(store.seen.hasEvent("replica_unusable bytes"));
+    store.feed.start(store.recorder);
+    REQUIRE(store.runUntil([&] { return !store.recorder.replicas.empty(); }));
+    CHECK(store.recorder.replicas == std::vector<std::string>{"good"});
+    CHECK(store.recorder.hasEvent("replica_unusable odd-state"));
+    CHECK(store.recorder.hasEvent("replica_unusable bytes"));
 }
 
-TEST_CASE("store feed: a long list is read in pages, and changes come by watch")
+TEST_CASE("store feed: a long list is read in pages, and changes arrive through the watch")
 {
     scripted_store store;
     store.lists["servers"] = listOf(object("i1", replicaSpec()), true);
@@ -138,11 +139,11 @@
                                      + R"({"removed":false,"object":)" + object("i3", replicaSpec()) + "}",
                                  11));
     };
-    store.feed.start(store.seen);
-    REQUIRE(store.runUntil([&] { return store.seen.replicas == std::vector<std::string>{"i2", "i3"}; }));
+    store.feed.start(store.recorder);
+    REQUIRE(store.runUntil([&] { return store.recorder.replicas == std::vector<std::string>{"i2", "i3"}; }));
 }
 
-TEST_CASE("store feed: where the history is gone, the list is read again")
+TEST_CASE("store feed: when the history is gone, the list is read again")
 {
     scripted_store store;
     store.lists["servers"] = listOf(object("i1", replicaSpec()));
@@ -153,25 +154,26 @@
         store.lists["servers"] = listOf(object("i2", replicaSpec()));
         exchange->reply(410, {});
     };
-    store.feed.start(store.seen);
-    CHECK(store.runUntil([&] { return store.seen.replicas == std::vector<std::string>{"i2"}; }));
+    store.feed.start(store.recorder);
+    CHECK(store.runUntil([&] { return store.recorder.replicas == std::vector<std::string>{"i2"}; }));
 }
 
-TEST_CASE("store feed: after a silent store the next calls are short, so that its return is noticed soon")
+TEST_CASE("store feed: watches are short after a timeout, so that the store's recovery is detected soon")
 {
     scripted_store store;
-    store.feed.start(store.seen); // watches get no answer
+    store.feed.start(store.recorder); // watches get no response
     REQUIRE(store.runUntil([&] { return store.waits.size() >= 2; }));
     CHECK(store.waits[0] == "200");
     CHECK(store.waits[1] == "100");
-    CHECK(store.seen.hasEvent("store_lost config"));
+    CHECK(store.recorder.hasEvent("store_lost config"));
     store.onWatch = [](const std::string &, const http_exchange_ptr &exchange) {
         exchange->reply(200, eventsOf("", 10));
     };
-    CHECK(store.runUntil([&] { return store.seen.hasEvent("store_regained config") && store.seen.isReachable; }));
+    CHECK(
+        store.runUntil([&] { return store.recorder.hasEvent("store_regained config") && store.recorder.isReachable; }));
 }
 
-TEST_CASE("store feed: the state of a roll-out is written under its revision")
+TEST_CASE("store feed: the state of a roll-out is written conditionally on its revision")
 {
     scripted_store store;
     std::string path;
@@ -181,9 +183,9 @@
         body = exchange->body;
         exchange->reply(409, {});
     };
-    store.feed.start(store.seen);
+    store.feed.start(store.recorder);
     store.feed.writeRollout({"s", "v2", 12s, rollout_state::rolled_back, 1, 41, 3});
-    REQUIRE(store.runUntil([&] { return store.seen.hasEvent("rollout_not_written s"); }));
+    REQUIRE(store.runUntil([&] { return store.recorder.hasEvent("rollout_not_written s"); }));
     const auto written = nlohmann::json::parse(body, nullptr, false);
     CHECK(written["metadata"]["revision"] == 41);
     CHECK(written["status"]["state"] == "rolled_back");
