--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -287,7 +287,7 @@
 
 void caller_api::sendWhole(exchange &open, const finish_request &answer)
 {
-    const auto body = encodeAnswer(answer, open.text + answer.text, true);
+    const auto body = encodeResponse(answer, open.text + answer.text, true);
     addHeader(open.request, "Content-Type", "application/json");
     addCommonHeaders(open.request, &answer);
     evbuffer_add(open.request->buffer_out, body.data(), body.size());
--- a/src/caller_connection.cpp
+++ b/src/caller_connection.cpp
@@ -84,7 +84,7 @@
     if (m_phase == phase::reading)
         readOn();
     else if (m_phase == phase::closing)
-        m_socket->drop(m_socket->received().size());
+        m_socket->consume(m_socket->received().size());
 }
 
 void caller_connection::readOn()
@@ -99,7 +99,7 @@
         m_parser.setHeadLimit(m_owner.limits().headBytes);
         const bool wasHead = m_parser.state() == parse_state::head;
         const bool isFirst = !m_parser.hasBegun();
-        m_socket->drop(m_parser.feed(bytes, onBody, wasHead));
+        m_socket->consume(m_parser.feed(bytes, onBody, wasHead));
         if (isFirst) {
             m_idleSince = suspendAwareNow();
             restartTimer();
@@ -145,10 +145,10 @@
 
 void caller_connection::reject(int status, std::string_view reason)
 {
-    m_owner.noteRejected(status, reason);
+    m_owner.recordRejected(status, reason);
     m_keepAlive = false;
     m_phase = phase::serving;
-    replyWhole(status, {}, {});
+    sendResponse(status, {}, {});
 }
 
 void caller_connection::writeHead(int status, const http_headers &headers, std::string_view framing)
@@ -164,7 +164,7 @@
     m_socket->write(text);
 }
 
-void caller_connection::replyWhole(int status, const http_headers &headers, std::string_view body)
+void caller_connection::sendResponse(int status, const http_headers &headers, std::string_view body)
 {
     if (m_phase != phase::serving)
         return;
--- a/src/caller_connection_p.h
+++ b/src/caller_connection_p.h
@@ -17,15 +17,15 @@
     instant readAt{}; ///< when its head was complete
 };
 
-/// Where the answer to a request goes. Exactly one of replyWhole(), or startStream() and endStream() or abort(), or
+/// Where the answer to a request goes. Exactly one of sendResponse(), or startStream() and endStream() or abort(), or
 /// abort() alone.
-class caller_reply
+class caller_response
 {
 public:
-    virtual ~caller_reply() = default;
+    virtual ~caller_response() = default;
 
     /// Sends a complete answer.
-    virtual void replyWhole(int status, const http_headers &headers, std::string_view body) = 0;
+    virtual void sendResponse(int status, const http_headers &headers, std::string_view body) = 0;
 
     virtual void startStream(int status, const http_headers &headers) = 0;
     virtual void streamBytes(std::string_view bytes) = 0;
@@ -62,16 +62,16 @@
     [[nodiscard]] virtual bool isDraining() const = 0;
 
     /// Starts work on a request. The reply may be used until the work is destroyed, also before this returns.
-    [[nodiscard]] virtual std::unique_ptr<request_work> serve(caller_request request, caller_reply &reply) = 0;
+    [[nodiscard]] virtual std::unique_ptr<request_work> serve(caller_request request, caller_response &reply) = 0;
 
     /// Counts a request that was rejected for its form.
-    virtual void noteRejected(int status, std::string_view reason) = 0;
+    virtual void recordRejected(int status, std::string_view reason) = 0;
 
     /// The connection has ended and is to be destroyed, outside of this call.
     virtual void onConnectionEnd(caller_connection &connection) = 0;
 };
 
-class caller_connection : private caller_reply
+class caller_connection : private caller_response
 {
 public:
     caller_connection(event_loop &loop, int socket, connection_owner &owner);
@@ -86,7 +86,7 @@
 private:
     enum class phase : std::uint8_t { reading, serving, closing, ended, count };
 
-    void replyWhole(int status, const http_headers &headers, std::string_view body) override;
+    void sendResponse(int status, const http_headers &headers, std::string_view body) override;
     void startStream(int status, const http_headers &headers) override;
     void streamBytes(std::string_view bytes) override;
     void endStream() override;
--- a/src/caller_protocol_p.h
+++ b/src/caller_protocol_p.h
@@ -33,7 +33,7 @@
 
 /// @returns the JSON object of a final answer.
 /// @param text whole text of the answer; left out where `withText` is false (it was streamed).
-[[nodiscard]] std::string encodeAnswer(const finish_request &answer, std::string_view text, bool withText);
+[[nodiscard]] std::string encodeResponse(const finish_request &answer, std::string_view text, bool withText);
 
 /// @returns a server-sent event with a part of the answer's text.
 [[nodiscard]] std::string encodeTextEvent(std::string_view text);
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -25,10 +25,10 @@
     return configConfirmedAt && std::chrono::duration<double>(now - *configConfirmedAt) < lease;
 }
 
-gateway_exchange::gateway_exchange(gateway_state &state, caller_request request, caller_reply &reply)
+gateway_exchange::gateway_exchange(gateway_state &state, caller_request request, caller_response &reply)
     : m_state(state)
     , m_request(std::move(request))
-    , m_reply(reply)
+    , m_callerResponse(reply)
     , m_facts(parseRequestHeaders(m_request.head, state.headerNames))
     , m_config(state.config)
     , m_lastEventId(m_facts.lastEventId)
--- a/src/gateway_exchange_p.h
+++ b/src/gateway_exchange_p.h
@@ -32,7 +32,7 @@
     retry_budget budget;
     rollout_policy rollouts;
     cascade_settings ladder;
-    upstream_pool pool;
+    connection_pool pool;
     std::mt19937_64 random;
 
     /// @returns whether keys may be accepted: none can have been withdrawn for longer than the bound allows.
@@ -42,7 +42,7 @@
 class gateway_exchange : public request_work, private upstream_listener
 {
 public:
-    gateway_exchange(gateway_state &state, caller_request request, caller_reply &reply);
+    gateway_exchange(gateway_state &state, caller_request request, caller_response &reply);
     ~gateway_exchange() override;
 
     /// Starts the work; it may be finished when this returns.
@@ -103,7 +103,7 @@
 
     gateway_state &m_state;
     caller_request m_request;
-    caller_reply &m_reply;
+    caller_response &m_callerResponse;
     request_metadata m_facts;
     gateway_config_ptr m_config; ///< in force when the request came
     const gateway_route *m_route = nullptr; ///< in m_config
--- a/src/gateway_exchange_responses.cpp
+++ b/src/gateway_exchange_responses.cpp
@@ -104,7 +104,7 @@
         return;
     }
     m_events.feed(bytes, [this](std::string_view event, std::optional<std::uint64_t> id) { passEvent(event, id); });
-    if (m_reply.pendingBytes() > kCallerBacklogBytes)
+    if (m_callerResponse.pendingBytes() > kCallerBacklogBytes)
         m_upstream->setReading(false);
 }
 
@@ -117,7 +117,7 @@
         return;
     if (!m_hasBegun)
         beginStream();
-    m_reply.streamBytes(event);
+    m_callerResponse.streamBytes(event);
     if (id)
         m_lastEventId = id;
 }
@@ -126,7 +126,7 @@
 {
     m_hasBegun = true;
     m_state.metrics.recordFirstEvent(m_route->name, suspendAwareNow() - m_request.readAt);
-    m_reply.startStream(m_answer.status, forwardedResponseHeaders(m_answer));
+    m_callerResponse.startStream(m_answer.status, forwardedResponseHeaders(m_answer));
 }
 
 attempt_result gateway_exchange::classify(upstream_end end) const
@@ -254,11 +254,11 @@
         return refuse(refusal::failed);
     finish(m_answer.status, "answered");
     if (!m_isStream)
-        return m_reply.replyWhole(m_answer.status, forwardedResponseHeaders(m_answer), m_body);
+        return m_callerResponse.sendResponse(m_answer.status, forwardedResponseHeaders(m_answer), m_body);
     if (!m_hasBegun)
         beginStream();
-    m_reply.streamBytes(m_events.rest());
-    m_reply.endStream();
+    m_callerResponse.streamBytes(m_events.rest());
+    m_callerResponse.endStream();
 }
 
 void gateway_exchange::refuse(refusal reason)
@@ -270,13 +270,13 @@
         headers.emplace_back(m_state.headerNames.requestId, m_facts.id);
     if (row.asksToReturn)
         headers.emplace_back("Retry-After", retryAfter());
-    m_reply.replyWhole(row.status, headers, {});
+    m_callerResponse.sendResponse(row.status, headers, {});
 }
 
 void gateway_exchange::cutOff(std::string_view reason)
 {
     finish(m_answer.status, reason);
-    m_reply.abort();
+    m_callerResponse.abort();
 }
 
 std::string gateway_exchange::retryAfter()
--- a/src/gateway_task.cpp
+++ b/src/gateway_task.cpp
@@ -123,14 +123,14 @@
     return m_state.config ? m_state.config->limits : s_default;
 }
 
-std::unique_ptr<request_work> gateway_task::serve(caller_request request, caller_reply &reply)
+std::unique_ptr<request_work> gateway_task::serve(caller_request request, caller_response &reply)
 {
     auto work = std::make_unique<gateway_exchange>(m_state, std::move(request), reply);
     work->begin();
     return work;
 }
 
-void gateway_task::noteRejected(int status, std::string_view reason)
+void gateway_task::recordRejected(int status, std::string_view reason)
 {
     m_metrics.recordRequest("none", status, reason, std::chrono::microseconds{0});
     m_log.write("request_rejected", {{"status", status}, {"reason", reason}}, log_subject::request);
@@ -217,15 +217,15 @@
 void gateway_task::serveReadiness(const http_exchange_ptr &exchange)
 {
     if (exchange->path != m_readinessPath)
-        return exchange->reply(http_status::kNotFound, {});
-    exchange->reply(isReady() ? http_status::kOk : http_status::kServiceUnavailable, {});
+        return exchange->respond(http_status::kNotFound, {});
+    exchange->respond(isReady() ? http_status::kOk : http_status::kServiceUnavailable, {});
 }
 
 void gateway_task::serveMetrics(const http_exchange_ptr &exchange)
 {
     if (exchange->path != "/metrics")
-        return exchange->reply(http_status::kNotFound, {});
-    exchange->reply(http_status::kOk, m_metrics.text(), {{"Content-Type", "text/plain; version=0.0.4"}});
+        return exchange->respond(http_status::kNotFound, {});
+    exchange->respond(http_status::kOk, m_metrics.text(), {{"Content-Type", "text/plain; version=0.0.4"}});
 }
 
 void gateway_task::tick()
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -123,7 +123,7 @@
         return;
     }
     // evhttp offers no hook between connecting and the first request, so the options count from the second request on.
-    tuneSocket(bufferevent_getfd(evhttp_connection_get_bufferevent(connection)), kUnacknowledgedLimit);
+    setTcpOptions(bufferevent_getfd(evhttp_connection_get_bufferevent(connection)), kTcpUserTimeout);
     idle.push_back({connection, event_loop::now()});
 }
 
@@ -222,7 +222,7 @@
 {
     if (open.isEnded)
         return;
-    http_reply reply;
+    http_response reply;
     if (!response) {
         reply.status = open.lastStatus;
         finish(open, std::move(reply));
@@ -235,7 +235,7 @@
         finish(open, std::move(reply));
         return;
     }
-    reply.end = http_end::answered;
+    reply.end = http_end::complete;
     reply.body = std::move(open.body);
     reply.body += takeAll(evhttp_request_get_input_buffer(response));
     reply.etag = headerOf(response, "ETag");
@@ -245,20 +245,20 @@
 
 void http_client::onTimeout(call &open)
 {
-    http_reply reply;
+    http_response reply;
     reply.end = http_end::timed_out;
     reply.status = open.lastStatus;
     finish(open, std::move(reply));
 }
 
-void http_client::finish(call &open, http_reply reply)
+void http_client::finish(call &open, http_response reply)
 {
     const auto found = m_calls.find(open.id);
     auto owned = std::move(found->second);
     m_calls.erase(found);
     owned->timeout.stop();
     const auto onDone = std::move(owned->handlers.onDone);
-    if (reply.end == http_end::answered)
+    if (reply.end == http_end::complete)
         giveBack(owned->request.endpoint, owned->connection);
     else
         discard(open.connection, std::move(owned));
--- a/src/http_client_p.h
+++ b/src/http_client_p.h
@@ -38,14 +38,14 @@
 
 /// How a call ended.
 enum class http_end : std::uint8_t {
-    answered, ///< status and headers are set; a chunked or sized body arrived whole
+    complete, ///< status and headers are set; a chunked or sized body arrived whole
     not_connected, ///< no connection came up: nothing was sent
     broken, ///< the connection was lost after the request was handed to it
     timed_out, ///< `connected` tells whether the request may have been sent
     count
 };
 
-struct http_reply {
+struct http_response {
     http_end end = http_end::broken;
     int status = 0;
     bool sent = true; ///< whether the request may have reached the server
@@ -57,7 +57,7 @@
 enum class http_call_id : std::uint64_t {};
 
 struct http_handlers {
-    std::function<void(http_reply)> onDone; ///< exactly once, unless the call is cancelled
+    std::function<void(http_response)> onDone; ///< exactly once, unless the call is cancelled
     std::function<void(int status, std::string_view data)> onData; ///< optional: body as it arrives
 };
 
@@ -100,7 +100,7 @@
     void onResponse(call &open, evhttp_request *response);
     void onBodyPart(call &open, evhttp_request *response);
     void onTimeout(call &open);
-    void finish(call &open, http_reply reply);
+    void finish(call &open, http_response reply);
 
     event_loop &m_loop;
     std::chrono::microseconds m_idleLimit;
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -106,7 +106,7 @@
     m_request = nullptr;
 }
 
-void http_exchange::reply(int status, std::string_view text, const http_headers &headers)
+void http_exchange::respond(int status, std::string_view text, const http_headers &headers)
 {
     if (!m_request)
         return;
--- a/src/http_server_p.h
+++ b/src/http_server_p.h
@@ -27,7 +27,7 @@
     /// @returns the value of a request header, or empty.
     [[nodiscard]] std::string header(const char *name) const;
 
-    void reply(int status, std::string_view text, const http_headers &headers = {});
+    void respond(int status, std::string_view text, const http_headers &headers = {});
     void startChunks(int status, const http_headers &headers);
     void chunk(std::string_view text);
     void endChunks();
--- a/src/load_poller.cpp
+++ b/src/load_poller.cpp
@@ -87,17 +87,17 @@
         request.path = "/load";
         request.timeout = kLoadTimeout;
         http_handlers handlers;
-        handlers.onDone = [this, name = info.name, askedAt = event_loop::now()](const http_reply &reply) {
+        handlers.onDone = [this, name = info.name, askedAt = event_loop::now()](const http_response &reply) {
             onReply(name, askedAt, reply);
         };
         m_open[info.name] = m_client.start(std::move(request), std::move(handlers));
     }
 }
 
-void load_poller::onReply(const std::string &upstream, instant askedAt, const http_reply &reply)
+void load_poller::onReply(const std::string &upstream, instant askedAt, const http_response &reply)
 {
     m_open.erase(upstream);
-    if (reply.end != http_end::answered || reply.status != http_status::kOk)
+    if (reply.end != http_end::complete || reply.status != http_status::kOk)
         return;
     if (auto report = decodeLoad(upstream, reply.body, askedAt))
         m_deliver(std::move(*report));
--- a/src/load_poller_p.h
+++ b/src/load_poller_p.h
@@ -32,7 +32,7 @@
     void poll();
 
 private:
-    void onReply(const std::string &upstream, instant askedAt, const http_reply &reply);
+    void onReply(const std::string &upstream, instant askedAt, const http_response &reply);
 
     http_client &m_client;
     report_sink m_deliver;
--- a/src/object_store_http.cpp
+++ b/src/object_store_http.cpp
@@ -86,11 +86,11 @@
     return encodePart(text.substr(0, slash)) + '/' + encodePath(text.substr(slash + 1));
 }
 
-std::optional<error> platformError(const http_reply &reply, const std::string &field)
+std::optional<error> platformError(const http_response &reply, const std::string &field)
 {
     constexpr int kFirstError = 300;
     switch (reply.end) {
-    case http_end::answered:
+    case http_end::complete:
         if (reply.status < kFirstError)
             return std::nullopt;
         return error{codeOfStatus(reply.status), field};
@@ -122,10 +122,10 @@
     return request;
 }
 
-void object_store_http::start(const char *name, http_request request, std::function<void(const http_reply &)> done)
+void object_store_http::start(const char *name, http_request request, std::function<void(const http_response &)> done)
 {
     http_handlers handlers;
-    handlers.onDone = [name, done = std::move(done), observer = m_observer](const http_reply &reply) {
+    handlers.onDone = [name, done = std::move(done), observer = m_observer](const http_response &reply) {
         const auto failure = platformError(reply, {});
         if (observer)
             observer(name, failure ? nameOf(failure->code) : "ok");
@@ -137,7 +137,7 @@
 void object_store_http::read(const std::string &key, read_done done)
 {
     auto call = request(http_method::get, "/objects/" + encodePath(key));
-    start("read", std::move(call), [key, done = std::move(done)](const http_reply &reply) {
+    start("read", std::move(call), [key, done = std::move(done)](const http_response &reply) {
         if (auto failure = platformError(reply, key))
             return done(*failure);
         const auto version = versionOf(reply.etag);
@@ -152,7 +152,7 @@
     auto call = request(http_method::put, "/objects/" + encodePath(key));
     call.headers.push_back(condition(expected));
     call.body = std::move(body);
-    start("write", std::move(call), [key, done = std::move(done)](const http_reply &reply) {
+    start("write", std::move(call), [key, done = std::move(done)](const http_response &reply) {
         if (auto failure = platformError(reply, key))
             return done(*failure);
         const auto version = versionOf(reply.etag);
@@ -167,7 +167,7 @@
 {
     auto call = request(http_method::remove, "/objects/" + encodePath(key));
     call.headers.push_back(condition(expected));
-    start("remove", std::move(call), [key, done = std::move(done)](const http_reply &reply) {
+    start("remove", std::move(call), [key, done = std::move(done)](const http_response &reply) {
         if (auto failure = platformError(reply, key))
             return done(*failure);
         done(BOOST_OUTCOME_V2_NAMESPACE::success());
@@ -179,7 +179,7 @@
     auto call = request(http_method::get,
                         "/objects?prefix=" + encodePart(prefix) + "&after=" + encodePart(after)
                             + "&limit=" + std::to_string(limit));
-    start("list", std::move(call), [prefix, done = std::move(done)](const http_reply &reply) {
+    start("list", std::move(call), [prefix, done = std::move(done)](const http_response &reply) {
         if (auto failure = platformError(reply, prefix))
             return done(*failure);
         done(keysOf(reply.body));
--- a/src/object_store_http_p.h
+++ b/src/object_store_http_p.h
@@ -25,7 +25,7 @@
 
 private:
     [[nodiscard]] http_request request(http_method method, std::string path) const;
-    void start(const char *name, http_request request, std::function<void(const http_reply &)> done);
+    void start(const char *name, http_request request, std::function<void(const http_response &)> done);
 
     http_client &m_client;
     http_endpoint m_platform;
@@ -34,7 +34,7 @@
 };
 
 /// @returns the error that a reply of the platform stands for, or nothing where the call succeeded.
-[[nodiscard]] std::optional<error> platformError(const http_reply &reply, const std::string &field);
+[[nodiscard]] std::optional<error> platformError(const http_response &reply, const std::string &field);
 
 /// @returns text with all but unreserved characters and "/" percent-encoded.
 [[nodiscard]] std::string encodePath(std::string_view text);
--- a/src/platform_client.cpp
+++ b/src/platform_client.cpp
@@ -35,7 +35,7 @@
     return host;
 }
 
-std::optional<std::uint32_t> decodeScore(const http_reply &reply)
+std::optional<std::uint32_t> decodeScore(const http_response &reply)
 {
     constexpr double kPermille = 1000;
     if (platformError(reply, {}))
@@ -74,14 +74,14 @@
 {
 }
 
-void platform_client::start(http_request request, std::function<void(http_reply)> done)
+void platform_client::start(http_request request, std::function<void(http_response)> done)
 {
     request.endpoint = m_platform;
     request.timeout = kTimeout;
     m_client.start(std::move(request), {std::move(done), {}});
 }
 
-void platform_client::post(const char *path, std::string body, std::function<void(http_reply)> done)
+void platform_client::post(const char *path, std::string body, std::function<void(http_response)> done)
 {
     http_request request;
     request.method = http_method::post;
@@ -96,7 +96,7 @@
     request.path = "/hosts";
     if (knownVersion)
         request.headers.emplace_back("If-None-Match", '"' + std::to_string(*knownVersion) + '"');
-    start(std::move(request), [done = std::move(done)](const http_reply &reply) {
+    start(std::move(request), [done = std::move(done)](const http_response &reply) {
         if (reply.status == http_status::kNotModified)
             return done(std::nullopt);
         if (auto failure = platformError(reply, "hosts"))
@@ -111,13 +111,13 @@
 void platform_client::rate(const std::string &kind, const std::string &text, rate_done done)
 {
     auto body = dump({{"kind", kind}, {"text", text}});
-    post("/rate", std::move(body), [done = std::move(done)](const http_reply &reply) { done(decodeScore(reply)); });
+    post("/rate", std::move(body), [done = std::move(done)](const http_response &reply) { done(decodeScore(reply)); });
 }
 
 void platform_client::requestWeights(const std::string &model, const std::string &version, weights_done done)
 {
     auto body = dump({{"model", model}, {"version", version}});
-    post("/weights", std::move(body), [version, done = std::move(done)](const http_reply &reply) {
+    post("/weights", std::move(body), [version, done = std::move(done)](const http_response &reply) {
         if (auto failure = platformError(reply, version))
             return done(*failure);
         done(BOOST_OUTCOME_V2_NAMESPACE::success());
--- a/src/platform_client_p.h
+++ b/src/platform_client_p.h
@@ -42,8 +42,8 @@
     void requestWeights(const std::string &model, const std::string &version, weights_done done);
 
 private:
-    void start(http_request request, std::function<void(http_reply)> done);
-    void post(const char *path, std::string body, std::function<void(http_reply)> done);
+    void start(http_request request, std::function<void(http_response)> done);
+    void post(const char *path, std::string body, std::function<void(http_response)> done);
 
     http_client &m_client;
     http_endpoint m_platform;
--- a/src/router_task.cpp
+++ b/src/router_task.cpp
@@ -257,8 +257,8 @@
 {
     const auto page = m_adminPages.find(exchange->path);
     if (page == m_adminPages.end() || exchange->method != http_method::get)
-        return exchange->reply(http_status::kNotFound, {});
-    exchange->reply(http_status::kOk, page->second(), {{"Content-Type", "text/plain; version=0.0.4"}});
+        return exchange->respond(http_status::kNotFound, {});
+    exchange->respond(http_status::kOk, page->second(), {{"Content-Type", "text/plain; version=0.0.4"}});
 }
 
 std::string router_task::metricsText()
--- a/src/socket_options.cpp
+++ b/src/socket_options.cpp
@@ -18,14 +18,14 @@
 
 } // namespace
 
-void tuneSocket(int socket, std::chrono::milliseconds unacknowledgedLimit)
+void setTcpOptions(int socket, std::chrono::milliseconds unacknowledgedLimit)
 {
     setOption(socket, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(unacknowledgedLimit.count()));
     setOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(kProbeInterval.count()));
     setOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, static_cast<int>(kProbeInterval.count()));
-    setOption(socket, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+    setOption(socket, IPPROTO_TCP, TCP_KEEPCNT, kMaxProbes);
 }
 
 } // namespace foxtaildyke
--- a/src/stream_socket.cpp
+++ b/src/stream_socket.cpp
@@ -24,7 +24,7 @@
     : m_loop(loop)
     , m_handlers(std::move(handlers))
 {
-    open(socket, kCallerUnacknowledgedLimit);
+    open(socket, kCallerTcpUserTimeout);
 }
 
 stream_socket::stream_socket(event_loop &loop, const http_endpoint &peer, handlers handlers)
@@ -32,7 +32,7 @@
     , m_handlers(std::move(handlers))
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    open(socket, kUnacknowledgedLimit);
+    open(socket, kTcpUserTimeout);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(peer.port);
@@ -50,7 +50,7 @@
 
 void stream_socket::open(int socket, std::chrono::milliseconds unacknowledgedLimit)
 {
-    tuneSocket(socket, unacknowledgedLimit);
+    setTcpOptions(socket, unacknowledgedLimit);
     m_stream = bufferevent_socket_new(m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     bufferevent_setcb(m_stream, onRead, onWrite, onEvent, this);
     bufferevent_setwatermark(m_stream, EV_READ, 0, kReceiveLimitBytes);
@@ -71,7 +71,7 @@
     return {reinterpret_cast<const char *>(evbuffer_pullup(input, -1)), size};
 }
 
-void stream_socket::drop(std::size_t bytes)
+void stream_socket::consume(std::size_t bytes)
 {
     evbuffer_drain(bufferevent_get_input(m_stream), bytes);
 }
--- a/src/stream_socket_p.h
+++ b/src/stream_socket_p.h
@@ -47,7 +47,7 @@
 
     /// @returns bytes received and not yet dropped. The view holds until the next call.
     [[nodiscard]] std::string_view received();
-    void drop(std::size_t bytes);
+    void consume(std::size_t bytes);
 
     /// @returns bytes that wait to be written.
     [[nodiscard]] std::size_t pendingBytes() const;
--- a/src/upstream_client.cpp
+++ b/src/upstream_client.cpp
@@ -29,7 +29,7 @@
     return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-attempt_failure failureOf(const http_reply &reply)
+attempt_failure failureOf(const http_response &reply)
 {
     switch (reply.end) {
     case http_end::not_connected:
@@ -98,7 +98,7 @@
     handlers.onData = [this, state](int status, std::string_view data) {
         onData(state, status, data);
     };
-    handlers.onDone = [this, state](const http_reply &reply) {
+    handlers.onDone = [this, state](const http_response &reply) {
         onEnd(*state, reply);
     };
     state->call = m_client.start(std::move(request), std::move(handlers));
@@ -163,7 +163,7 @@
         attempt.finish = attempt_done{attempt.token, *prompt, *completion};
 }
 
-void upstream_client::onEnd(running &attempt, const http_reply &reply)
+void upstream_client::onEnd(running &attempt, const http_response &reply)
 {
     if (!attempt.isSettled)
         settle(attempt, attempt_failed{attempt.token, failureOf(reply)});
--- a/src/upstream_client_p.h
+++ b/src/upstream_client_p.h
@@ -32,7 +32,7 @@
     void onData(const std::shared_ptr<running> &attempt, int status, std::string_view data);
     void onLine(running &attempt, std::string_view line);
     void onEvent(running &attempt, std::string_view payload);
-    void onEnd(running &attempt, const http_reply &reply);
+    void onEnd(running &attempt, const http_response &reply);
     void settle(running &attempt, core_input input);
 
     http_client &m_client;
--- a/src/upstream_exchange.cpp
+++ b/src/upstream_exchange.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-upstream_pool::upstream_pool(event_loop &loop, std::string requestIdHeader)
+connection_pool::connection_pool(event_loop &loop, std::string requestIdHeader)
     : m_loop(loop)
     , m_requestIdHeader(std::move(requestIdHeader))
     , m_pruneTimer(loop, [this] { prune(); })
@@ -34,7 +34,7 @@
     m_pruneTimer.start(kPruneInterval);
 }
 
-std::unique_ptr<stream_socket> upstream_pool::take(const std::string &replica, const http_endpoint &address)
+std::unique_ptr<stream_socket> connection_pool::acquire(const std::string &replica, const http_endpoint &address)
 {
     auto &idle = m_idle[replica];
     const auto now = suspendAwareNow();
@@ -48,12 +48,12 @@
     return nullptr;
 }
 
-void upstream_pool::keep(const std::string &replica, const http_endpoint &address,
-                         std::unique_ptr<stream_socket> socket, std::chrono::milliseconds idleLimit)
+void connection_pool::release(const std::string &replica, const http_endpoint &address,
+                              std::unique_ptr<stream_socket> socket, std::chrono::milliseconds idleLimit)
 {
     const auto limit = (idleLimit.count() > 0 ? idleLimit : kDefaultIdleLimit) - kIdleMargin;
     auto &idle = m_idle[replica];
-    if (limit.count() <= 0 || idle.size() >= kMostIdle)
+    if (limit.count() <= 0 || idle.size() >= kMaxIdlePerReplica)
         return;
     const auto *key = socket.get();
     socket->setHandlers({.onConnected = {},
@@ -66,12 +66,12 @@
     idle.push_back({std::move(socket), address, suspendAwareNow() + limit});
 }
 
-void upstream_pool::removeEnded(const std::string &replica, const stream_socket *socket)
+void connection_pool::removeEnded(const std::string &replica, const stream_socket *socket)
 {
     std::erase_if(m_idle[replica], [socket](const idle_socket &entry) { return entry.socket.get() == socket; });
 }
 
-void upstream_pool::prune()
+void connection_pool::prune()
 {
     const auto now = suspendAwareNow();
     for (auto &[replica, idle] : m_idle)
@@ -80,7 +80,7 @@
     m_pruneTimer.start(kPruneInterval);
 }
 
-upstream_exchange::upstream_exchange(upstream_pool &pool, upstream_request request, upstream_listener &listener)
+upstream_exchange::upstream_exchange(connection_pool &pool, upstream_request request, upstream_listener &listener)
     : m_pool(pool)
     , m_request(std::move(request))
     , m_listener(listener)
@@ -93,14 +93,14 @@
                                                [this](socket_end end) {
                                                    onSocketEnd(end);
                                                }};
-    m_socket = pool.take(m_request.replica, m_request.address);
+    m_socket = pool.acquire(m_request.replica, m_request.address);
     if (m_socket) {
         m_socket->setHandlers(handlers);
         send();
         return;
     }
     m_socket = std::make_unique<stream_socket>(pool.loop(), m_request.address, handlers);
-    m_connectTimer.start(upstream_pool::kConnectLimit);
+    m_connectTimer.start(connection_pool::kConnectTimeout);
 }
 
 upstream_exchange::~upstream_exchange()
@@ -149,7 +149,7 @@
         const auto used = m_parser.feed(bytes, onBody, wasHead);
         if (!*alive)
             return;
-        m_socket->drop(used);
+        m_socket->consume(used);
         const auto state = m_parser.state();
         if (state == parse_state::malformed || state == parse_state::head_too_large)
             return finish(upstream_end::malformed);
@@ -184,8 +184,8 @@
     const bool isReusable = end == upstream_end::complete && head.keepAlive && !m_parser.endsWithConnection()
         && socket->pendingBytes() == 0 && socket->received().empty();
     if (isReusable)
-        m_pool.keep(m_request.replica, m_request.address, std::move(socket),
-                    keepAliveTimeout(head.header("Keep-Alive")));
+        m_pool.release(m_request.replica, m_request.address, std::move(socket),
+                       keepAliveTimeout(head.header("Keep-Alive")));
     m_listener.onUpstreamEnd(end);
 }
 
--- a/src/upstream_exchange_p.h
+++ b/src/upstream_exchange_p.h
@@ -42,13 +42,13 @@
     std::string requestId; ///< an answer that echoes another id is skipped
 };
 
-class upstream_pool;
+class connection_pool;
 
 /// One request to a replica. Destroying it before its end closes the connection, at which the replica stops work.
 class upstream_exchange
 {
 public:
-    upstream_exchange(upstream_pool &pool, upstream_request request, upstream_listener &listener);
+    upstream_exchange(connection_pool &pool, upstream_request request, upstream_listener &listener);
     ~upstream_exchange();
     upstream_exchange(const upstream_exchange &) = delete;
     upstream_exchange &operator=(const upstream_exchange &) = delete;
@@ -63,7 +63,7 @@
     void takeHead();
     void finish(upstream_end end);
 
-    upstream_pool &m_pool;
+    connection_pool &m_pool;
     upstream_request m_request;
     upstream_listener &m_listener;
     std::unique_ptr<stream_socket> m_socket;
@@ -76,22 +76,22 @@
 };
 
 /// Connections that wait for their next request.
-class upstream_pool
+class connection_pool
 {
 public:
-    upstream_pool(event_loop &loop, std::string requestIdHeader);
+    connection_pool(event_loop &loop, std::string requestIdHeader);
 
-    [[nodiscard]] std::unique_ptr<stream_socket> take(const std::string &replica, const http_endpoint &address);
+    [[nodiscard]] std::unique_ptr<stream_socket> acquire(const std::string &replica, const http_endpoint &address);
     /// @param idleLimit how long the replica keeps an idle connection, or 0: unknown.
-    void keep(const std::string &replica, const http_endpoint &address, std::unique_ptr<stream_socket> socket,
-              std::chrono::milliseconds idleLimit);
+    void release(const std::string &replica, const http_endpoint &address, std::unique_ptr<stream_socket> socket,
+                 std::chrono::milliseconds idleLimit);
 
     [[nodiscard]] event_loop &loop() { return m_loop; }
     [[nodiscard]] const std::string &requestIdHeader() const { return m_requestIdHeader; }
 
     /// Time in which a connection comes up: the largest round trip between failure domains (3 ms) and one lost packet
     /// (a retransmission after 1 s would be too late for plain calls) lie within it.
-    static constexpr std::chrono::milliseconds kConnectLimit{350};
+    static constexpr std::chrono::milliseconds kConnectTimeout{350};
 
 private:
     struct idle_socket {
@@ -105,7 +105,7 @@
     void removeEnded(const std::string &replica, const stream_socket *socket);
 
     /// Kept connections per replica. A host's share of a replica's slots is below this at today's sizes.
-    static constexpr std::size_t kMostIdle = 24;
+    static constexpr std::size_t kMaxIdlePerReplica = 24;
     /// Idle time where the replica states none.
     static constexpr std::chrono::milliseconds kDefaultIdleLimit{2000};
     /// A connection isn't used in the last part of its idle time, so that the request doesn't cross its end.
--- a/tests/failure_deployment.cpp
+++ b/tests/failure_deployment.cpp
@@ -102,7 +102,7 @@
     return std::to_string(std::chrono::duration_cast<std::chrono::seconds>(now).count()) + "-" + token;
 }
 
-nlohmann::json bodyOf(const http_response &response)
+nlohmann::json bodyOf(const call_response &response)
 {
     const auto body = nlohmann::json::parse(response.body, nullptr, false);
     return body.is_discarded() ? nlohmann::json{} : body;
@@ -267,7 +267,7 @@
     return call;
 }
 
-http_response deployment::call(std::size_t router, const caller_call &request) const
+call_response deployment::call(std::size_t router, const caller_call &request) const
 {
     return send(makeCall(router, request));
 }
--- a/tests/failure_deployment.h
+++ b/tests/failure_deployment.h
@@ -74,7 +74,7 @@
     /// @returns the new generation.
     generation_number publish(const std::vector<config_edit> &edits);
 
-    http_response call(std::size_t router, const caller_call &request) const;
+    call_response call(std::size_t router, const caller_call &request) const;
     [[nodiscard]] http_call makeCall(std::size_t router, const caller_call &request) const;
 
     /// Sets faults of the platform or an upstream.
@@ -105,6 +105,6 @@
 std::string makeRequestId(const std::string &token);
 
 /// @returns the JSON body of a response, or null where it has none.
-nlohmann::json bodyOf(const http_response &response);
+nlohmann::json bodyOf(const call_response &response);
 
 } // namespace foxtaildyke::testing
--- a/tests/failure_requests.cpp
+++ b/tests/failure_requests.cpp
@@ -27,9 +27,9 @@
         setFaults(upstreams[1]->port, faults);
     }
     /// Sends again until the answer is not "the first copy is still open here".
-    http_response resend(std::size_t router, const caller_call &request) const
+    call_response resend(std::size_t router, const caller_call &request) const
     {
-        http_response response;
+        call_response response;
         waitFor([&] {
             response = call(router, request);
             return bodyOf(response).value("reason", "") != "duplicate_in_progress";
@@ -98,7 +98,7 @@
     REQUIRE(waitFor([&] { return fleet.runsOf(request.requestId) == 1; }));
     fleet.routers[0]->process->signal(SIGTERM);
     const caller_call late{.requestId = makeRequestId("late")};
-    http_response refused;
+    call_response refused;
     REQUIRE(waitFor([&] {
         refused = fleet.call(0, late);
         return refused.status != 200;
--- a/tests/failure_support.cpp
+++ b/tests/failure_support.cpp
@@ -90,7 +90,7 @@
     }
 }
 
-void readHeaders(std::string_view head, http_response &response)
+void readHeaders(std::string_view head, call_response &response)
 {
     while (!head.empty()) {
         const auto end = std::min(head.find("\r\n"), head.size());
@@ -106,9 +106,9 @@
     }
 }
 
-http_response parseResponse(const std::string &bytes)
+call_response parseResponse(const std::string &bytes)
 {
-    http_response response;
+    call_response response;
     const auto headEnd = bytes.find("\r\n\r\n");
     if (headEnd == std::string::npos || bytes.size() < 12)
         return response;
@@ -210,7 +210,7 @@
     return false;
 }
 
-http_response send(const http_call &call)
+call_response send(const http_call &call)
 {
     const int socket = connectTo(call.port);
     if (socket < 0)
@@ -219,7 +219,7 @@
     if (sendAll(socket, formatRequest(call)))
         bytes = readToEnd(socket, call.timeout);
     ::close(socket);
-    return bytes ? parseResponse(*bytes) : http_response{};
+    return bytes ? parseResponse(*bytes) : call_response{};
 }
 
 http_task::http_task(http_call call)
@@ -233,7 +233,7 @@
         m_thread.join();
 }
 
-const http_response &http_task::get()
+const call_response &http_task::get()
 {
     if (m_thread.joinable())
         m_thread.join();
--- a/tests/failure_support.h
+++ b/tests/failure_support.h
@@ -48,7 +48,7 @@
     std::optional<int> m_status; ///< set once the process was reaped
 };
 
-struct http_response {
+struct call_response {
     int status = 0; ///< 0: no answer
     std::map<std::string, std::string> headers; ///< names in lower case
     std::string body;
@@ -65,7 +65,7 @@
 };
 
 /// Sends one request to 127.0.0.1 and waits for the answer.
-http_response send(const http_call &call);
+call_response send(const http_call &call);
 
 /// Sends a request on a thread of its own.
 class http_task
@@ -74,10 +74,10 @@
     explicit http_task(http_call call);
     ~http_task();
     /// Waits for the answer.
-    const http_response &get();
+    const call_response &get();
 
 private:
-    http_response m_response;
+    call_response m_response;
     std::thread m_thread;
 };
 
--- a/tests/gateway_harness.cpp
+++ b/tests/gateway_harness.cpp
@@ -71,7 +71,7 @@
         };
         while (!stream.received().empty() && !isOpen) {
             const bool wasHead = parser.state() == parse_state::head;
-            stream.drop(parser.feed(stream.received(), onBody, wasHead));
+            stream.consume(parser.feed(stream.received(), onBody, wasHead));
             if (wasHead && parser.state() == parse_state::body && replica.respondsAfterHead)
                 stream.write(replica.m_answer({parser.head(), {}}).bytes);
             if (wasHead && parser.state() == parse_state::body)
@@ -200,7 +200,7 @@
     // Bytes that are no HTTP stay where they are; the last answer is then not whole.
     while (!m_socket->received().empty() && m_parser.state() != parse_state::malformed) {
         const bool wasHead = m_parser.state() == parse_state::head;
-        m_socket->drop(m_parser.feed(m_socket->received(), onBody, wasHead));
+        m_socket->consume(m_parser.feed(m_socket->received(), onBody, wasHead));
         if (wasHead && m_parser.state() != parse_state::head)
             responses.push_back({m_parser.head(), {}, false});
         if (m_parser.state() != parse_state::complete)
--- a/tests/gateway_process.cpp
+++ b/tests/gateway_process.cpp
@@ -130,19 +130,19 @@
     return caller.responses.empty() ? received_response{} : caller.responses[0];
 }
 
-http_reply gateway_process::get(std::uint16_t port, const std::string &path)
+http_response gateway_process::get(std::uint16_t port, const std::string &path)
 {
-    std::optional<http_reply> reply;
+    std::optional<http_response> reply;
     http_request call;
     call.endpoint = {"127.0.0.1", port};
     call.path = path;
     http_handlers handlers;
-    handlers.onDone = [&reply](const http_reply &done) {
+    handlers.onDone = [&reply](const http_response &done) {
         reply = done;
     };
     m_client.start(std::move(call), std::move(handlers));
     runUntil([&reply] { return reply.has_value(); });
-    return reply.value_or(http_reply{});
+    return reply.value_or(http_response{});
 }
 
 int gateway_process::readiness()
--- a/tests/gateway_process.h
+++ b/tests/gateway_process.h
@@ -47,7 +47,7 @@
     bool waitForLog(std::string_view first, std::string_view second);
 
 private:
-    http_reply get(std::uint16_t port, const std::string &path);
+    http_response get(std::uint16_t port, const std::string &path);
     [[nodiscard]] static nlohmann::json makeConfigSpec(generation_number version, const std::vector<std::string> &keys);
     void writeSettings(const std::string &moreSettings) const;
 
--- a/tests/standin_store.cpp
+++ b/tests/standin_store.cpp
@@ -104,13 +104,13 @@
     if (refuse(exchange))
         return;
     if (!exchange->path.starts_with(kPrefix))
-        return exchange->reply(http_status::kNotFound, {});
+        return exchange->respond(http_status::kNotFound, {});
     const auto parts = splitPath(exchange->path);
     const bool isStatus = parts.size() == 3 && parts[2] == "status";
     if (exchange->method == http_method::put && parts.size() >= 2)
         return serveWrite(parts[0], parts[1], isStatus, exchange);
     if (exchange->method != http_method::get || parts.size() != 1)
-        return exchange->reply(http_status::kNotFound, {});
+        return exchange->respond(http_status::kNotFound, {});
     if (exchange->query.contains("watch"))
         return serveWatch(parts[0], exchange);
     serveList(parts[0], exchange);
@@ -120,9 +120,9 @@
 bool standin_store::refuse(const http_exchange_ptr &exchange)
 {
     if (m_mood == store_mood::refusing)
-        exchange->reply(http_status::kServiceUnavailable, {});
+        exchange->respond(http_status::kServiceUnavailable, {});
     else if (m_mood == store_mood::limiting)
-        exchange->reply(http_status::kTooManyRequests, {});
+        exchange->respond(http_status::kTooManyRequests, {});
     else if (m_mood == store_mood::dropping)
         exchange->drop();
     else if (m_mood == store_mood::silent)
@@ -144,7 +144,7 @@
             break;
         items.push_back(render(name, object));
     }
-    exchange->reply(http_status::kOk, json{{"items", items}, {"truncated", isTruncated}, {"at", m_revision}}.dump());
+    exchange->respond(http_status::kOk, json{{"items", items}, {"truncated", isTruncated}, {"at", m_revision}}.dump());
 }
 
 void standin_store::serveWatch(const std::string &kind, const http_exchange_ptr &exchange)
@@ -152,7 +152,7 @@
     const auto after = numberIn(exchange->query, "watch");
     if (after < m_oldest) {
         ++goneAnswers;
-        return exchange->reply(http_status::kGone, {});
+        return exchange->respond(http_status::kGone, {});
     }
     const waiting_watch watch{kind, after, exchange};
     if (answerWatch(watch, false))
@@ -179,7 +179,7 @@
             events.push_back({{"object", entry.object}, {"removed", entry.isRemoved}});
     if (events.empty() && !isDue)
         return false;
-    watch.exchange->reply(http_status::kOk, json{{"events", events}, {"at", m_revision}}.dump());
+    watch.exchange->respond(http_status::kOk, json{{"events", events}, {"at", m_revision}}.dump());
     return true;
 }
 
@@ -196,7 +196,7 @@
     if (fate == write_fate::unanswered)
         m_unanswered.push_back(exchange);
     else
-        exchange->reply(status, {});
+        exchange->respond(status, {});
 }
 
 int standin_store::write(const std::string &kind, const std::string &name, bool isStatus, const json &body)
--- a/tests/test_caller_api.cpp
+++ b/tests/test_caller_api.cpp
@@ -22,7 +22,7 @@
                        take(input);
                    }};
     http_endpoint endpoint{"127.0.0.1", 0};
-    std::vector<http_reply> replies;
+    std::vector<http_response> replies;
 
     harness()
     {
@@ -56,14 +56,14 @@
     http_call_id start(http_request request)
     {
         return net.client.start(std::move(request),
-                                {[this](http_reply reply) {
+                                {[this](http_response reply) {
                                      replies.push_back(std::move(reply));
                                      net.stopSoon();
                                  },
                                  {}});
     }
 
-    http_reply call(http_request request)
+    http_response call(http_request request)
     {
         const auto before = replies.size();
         start(std::move(request));
@@ -114,7 +114,7 @@
                             [&test, token = request.request] { test.api.finish(harness::complete(token)); });
     };
     const auto reply = test.call(test.request(kStreamBody));
-    CHECK(reply.end == http_end::answered);
+    CHECK(reply.end == http_end::complete);
     CHECK(reply.status == 200);
     CHECK(reply.body.find("data: {\"text\":\"first \"}\n\ndata: {\"text\":\"rest\"}\n\nevent: outcome\n") == 0);
     CHECK(reply.body.find(R"("outcome":"complete")") != std::string::npos);
@@ -216,7 +216,7 @@
                             [&test, token = request.request] { test.api.finish(harness::complete(token)); });
     };
     const auto reply = test.call(test.request(kStreamBody));
-    CHECK(reply.end == http_end::answered);
+    CHECK(reply.end == http_end::complete);
     CHECK(reply.body.find(R"("outcome":"complete")") != std::string::npos);
     CHECK(test.api.isIdle());
     CHECK(test.call(health).status == 503);
--- a/tests/test_caller_protocol.cpp
+++ b/tests/test_caller_protocol.cpp
@@ -103,7 +103,7 @@
     answer.outcome = outcome_kind::failed_after_run;
     answer.reason = reason_code::answer_truncated;
     answer.model = "m";
-    const auto failed = nlohmann::json::parse(encodeAnswer(answer, "part", true));
+    const auto failed = nlohmann::json::parse(encodeResponse(answer, "part", true));
     CHECK(failed["outcome"] == "failed_after_run");
     CHECK(failed["reason"] == "answer_truncated");
     CHECK(!failed.contains("text"));
@@ -111,7 +111,7 @@
     answer.outcome = outcome_kind::complete;
     answer.reason = reason_code::none;
     answer.costMicroUnits = 12;
-    const auto complete = nlohmann::json::parse(encodeAnswer(answer, "whole", true));
+    const auto complete = nlohmann::json::parse(encodeResponse(answer, "whole", true));
     CHECK(complete["text"] == "whole");
     CHECK(complete["cost_micro_units"] == 12);
     CHECK(!complete.contains("reason"));
--- a/tests/test_http_client.cpp
+++ b/tests/test_http_client.cpp
@@ -7,7 +7,7 @@
 {
     loopback net;
     net.serve = [](const http_exchange_ptr &exchange) {
-        exchange->reply(200, {});
+        exchange->respond(200, {});
     };
     http_client client(net.loop, std::chrono::milliseconds(40));
     http_request request;
@@ -15,7 +15,7 @@
     request.path = "/";
     std::size_t idleAfterReply = 0;
     client.start(request,
-                 {[&](const http_reply &) {
+                 {[&](const http_response &) {
                       idleAfterReply = client.idleConnections();
                       net.loop.after(std::chrono::milliseconds(200), [&] { net.loop.stop(); });
                   },
@@ -29,7 +29,7 @@
 {
     loopback net;
     net.serve = [](const http_exchange_ptr &exchange) {
-        exchange->reply(200, "x");
+        exchange->respond(200, "x");
     };
     http_request request;
     request.endpoint = net.endpoint;
@@ -44,7 +44,7 @@
             ++parts;
             net.client.cancel(calls[1 - own]);
         };
-        handlers.onDone = [&](const http_reply &) {
+        handlers.onDone = [&](const http_response &) {
             ++ends;
             net.stopSoon();
         };
--- a/tests/test_object_store_http.cpp
+++ b/tests/test_object_store_http.cpp
@@ -41,7 +41,7 @@
     for (const auto &expected : expectations) {
         CAPTURE(expected.status);
         const auto written =
-            writeOnce(net, [&](const http_exchange_ptr &exchange) { exchange->reply(expected.status, {}); });
+            writeOnce(net, [&](const http_exchange_ptr &exchange) { exchange->respond(expected.status, {}); });
         REQUIRE(written.has_error());
         CHECK(written.error().code == expected.code);
         CHECK(written.error().field == "claims/a b/1");
@@ -58,7 +58,7 @@
         condition = exchange->header("If-None-Match");
         path = exchange->path;
         body = exchange->body;
-        exchange->reply(201, {}, {{"ETag", "\"17\""}});
+        exchange->respond(201, {}, {{"ETag", "\"17\""}});
     });
     REQUIRE(written.has_value());
     CHECK(written.value() == 17);
@@ -82,7 +82,7 @@
     const auto written = writeOnce(net, [&](const http_exchange_ptr &exchange) { kept.push_back(exchange); });
     REQUIRE(written.has_error());
     CHECK(written.error().code == error_code::timed_out);
-    kept.front()->reply(201, {}, {{"ETag", "\"1\""}});
+    kept.front()->respond(201, {}, {{"ETag", "\"1\""}});
     net.stopSoon();
     CHECK(net.run());
 }
@@ -90,7 +90,7 @@
 TEST_CASE("a written object without a valid version counts as unknown")
 {
     loopback net;
-    const auto written = writeOnce(net, [](const http_exchange_ptr &exchange) { exchange->reply(200, {}); });
+    const auto written = writeOnce(net, [](const http_exchange_ptr &exchange) { exchange->respond(200, {}); });
     REQUIRE(written.has_error());
     CHECK(written.error().code == error_code::io_failure);
 }
@@ -123,7 +123,7 @@
     std::map<std::string, std::string> query;
     net.serve = [&](const http_exchange_ptr &exchange) {
         query = exchange->query;
-        exchange->reply(200, bodies[served++]);
+        exchange->respond(200, bodies[served++]);
     };
     std::vector<result<std::vector<std::string>>> lists;
     store.list("a/", "a/0", 10, [&](const result<std::vector<std::string>> &list) {
--- a/tests/test_platform_client.cpp
+++ b/tests/test_platform_client.cpp
@@ -47,7 +47,7 @@
     for (const auto &expected : expectations) {
         CAPTURE(expected.body);
         net.serve = [&](const http_exchange_ptr &exchange) {
-            exchange->reply(expected.status, expected.body);
+            exchange->respond(expected.status, expected.body);
         };
         std::vector<std::optional<std::uint32_t>> scores;
         platform.rate("k", "text", [&](std::optional<std::uint32_t> score) {
@@ -122,8 +122,8 @@
     platform_client platform(net.client, net.endpoint);
     net.serve = [](const http_exchange_ptr &exchange) {
         if (exchange->header("If-None-Match") == "\"7\"")
-            return exchange->reply(304, {});
-        exchange->reply(200, R"({"version":7,"hosts":[]})");
+            return exchange->respond(304, {});
+        exchange->respond(200, R"({"version":7,"hosts":[]})");
     };
     std::vector<std::optional<std::uint64_t>> versions;
     const auto note = [&](const result<std::optional<host_list>> &list) {
--- a/tests/test_store_feed.cpp
+++ b/tests/test_store_feed.cpp
@@ -45,7 +45,7 @@
         serve = [this](const http_exchange_ptr &exchange) {
             const auto kind = exchange->path.substr(exchange->path.rfind('/') + 1);
             if (!exchange->query.contains("watch"))
-                return exchange->reply(200, lists[exchange->query.contains("after") ? kind + " after" : kind]);
+                return exchange->respond(200, lists[exchange->query.contains("after") ? kind + " after" : kind]);
             if (kind == "config")
                 waits.push_back(exchange->query["wait_ms"]);
             if (onWatch)
@@ -133,10 +133,10 @@
     store.onWatch = [&](const std::string &kind, const http_exchange_ptr &exchange) {
         if (kind != "servers" || ++watches > 1)
             return store.waiting.push_back(exchange);
-        exchange->reply(200,
-                        eventsOf(R"({"removed":true,"object":)" + object("i1", replicaSpec()) + "},"
-                                     + R"({"removed":false,"object":)" + object("i3", replicaSpec()) + "}",
-                                 11));
+        exchange->respond(200,
+                          eventsOf(R"({"removed":true,"object":)" + object("i1", replicaSpec()) + "},"
+                                       + R"({"removed":false,"object":)" + object("i3", replicaSpec()) + "}",
+                                   11));
     };
     store.feed.start(store.seen);
     REQUIRE(store.runUntil([&] { return store.seen.replicas == std::vector<std::string>{"i2", "i3"}; }));
@@ -151,7 +151,7 @@
         if (kind != "servers" || !std::exchange(isGone, false))
             return store.waiting.push_back(exchange);
         store.lists["servers"] = listOf(object("i2", replicaSpec()));
-        exchange->reply(410, {});
+        exchange->respond(410, {});
     };
     store.feed.start(store.seen);
     CHECK(store.runUntil([&] { return store.seen.replicas == std::vector<std::string>{"i2"}; }));
@@ -166,7 +166,7 @@
     CHECK(store.waits[1] == "100");
     CHECK(store.seen.hasNote("store_lost config"));
     store.onWatch = [](const std::string &, const http_exchange_ptr &exchange) {
-        exchange->reply(200, eventsOf("", 10));
+        exchange->respond(200, eventsOf("", 10));
     };
     CHECK(store.runUntil([&] { return store.seen.hasNote("store_regained config") && store.seen.isReachable; }));
 }
@@ -179,7 +179,7 @@
     store.serve = [&](const http_exchange_ptr &exchange) {
         path = exchange->path;
         body = exchange->body;
-        exchange->reply(409, {});
+        exchange->respond(409, {});
     };
     store.feed.start(store.seen);
     store.feed.writeRollout({"s", "v2", 12s, rollout_state::rolled_back, 1, 41, 3});
--- a/tests/test_upstream_client.cpp
+++ b/tests/test_upstream_client.cpp
@@ -150,7 +150,7 @@
         for (const int status : {429, 503}) {
             harness test;
             test.net.serve = [status](const http_exchange_ptr &exchange) {
-                exchange->reply(status, {});
+                exchange->respond(status, {});
             };
             test.client.start(test.attempt());
             REQUIRE(test.net.run());
@@ -161,7 +161,7 @@
     {
         harness test;
         test.net.serve = [](const http_exchange_ptr &exchange) {
-            exchange->reply(404, {});
+            exchange->respond(404, {});
         };
         test.client.start(test.attempt());
         REQUIRE(test.net.run());
--- a/tools/control_process.cpp
+++ b/tools/control_process.cpp
@@ -65,8 +65,8 @@
     request.headers = {{"Content-Type", "application/json"}};
     request.body = body.dump();
     http_handlers handlers;
-    handlers.onDone = [done = std::move(done), name = order.target.name](const http_reply &reply) {
-        if (reply.end != http_end::answered)
+    handlers.onDone = [done = std::move(done), name = order.target.name](const http_response &reply) {
+        if (reply.end != http_end::complete)
             return done(error{reply.end == http_end::timed_out ? error_code::timed_out : error_code::io_failure, name});
         if (reply.status != 200)
             return done(error{reply.status == 409 ? error_code::conflict : error_code::unavailable, name});
@@ -152,9 +152,9 @@
 void control_process::serve(const http_exchange_ptr &exchange)
 {
     if (exchange->path == "/healthz")
-        return exchange->reply(200, "ok\n");
+        return exchange->respond(200, "ok\n");
     if (exchange->path == "/metrics")
-        return exchange->reply(200, metricsText(), {{"Content-Type", "text/plain; version=0.0.4"}});
+        return exchange->respond(200, metricsText(), {{"Content-Type", "text/plain; version=0.0.4"}});
     admin_request request;
     request.method = nameOfMethod(exchange->method);
     request.path = exchange->path;
@@ -163,7 +163,7 @@
     request.body = exchange->body;
     m_api.handle(request, [exchange](const admin_reply &reply) {
         if (exchange->isOpen())
-            exchange->reply(reply.status, reply.body, kJsonHeader);
+            exchange->respond(reply.status, reply.body, kJsonHeader);
     });
 }
 
--- a/tools/ctl_call.cpp
+++ b/tools/ctl_call.cpp
@@ -30,13 +30,13 @@
 }
 
 /// One call on its own event loop.
-http_reply callOnce(const http_request &request)
+http_response callOnce(const http_request &request)
 {
     event_loop loop;
     http_client client(loop);
-    http_reply answer;
+    http_response answer;
     http_handlers handlers;
-    handlers.onDone = [&](const http_reply &reply) {
+    handlers.onDone = [&](const http_response &reply) {
         answer = reply;
         loop.stop();
     };
@@ -122,7 +122,7 @@
     const auto request = makeRequest(options, method, path, body);
     for (int tries = 1;; ++tries) {
         const auto reply = callOnce(request);
-        if (reply.end == http_end::answered)
+        if (reply.end == http_end::complete)
             return {reply.status, json::parse(reply.body, nullptr, false)};
         if (tries == kMostTries)
             return {};
--- a/tools/load_http.cpp
+++ b/tools/load_http.cpp
@@ -110,12 +110,12 @@
                         .headers = headersOf(planned, source),
                         .body = body.dump(),
                         .timeout = deadlineOf(source) + kAnswerGrace},
-                       {.onDone = [this, index, sentAt = event_loop::now()](const http_reply &reply) {
+                       {.onDone = [this, index, sentAt = event_loop::now()](const http_response &reply) {
                            onReply(index, sentAt, reply);
                        }});
     }
 
-    void onReply(std::size_t index, instant sentAt, const http_reply &reply)
+    void onReply(std::size_t index, instant sentAt, const http_response &reply)
     {
         auto &state = m_states[index];
         --state.open;
@@ -126,13 +126,13 @@
             m_loop.stop();
     }
 
-    void take(std::size_t index, instant sentAt, const http_reply &reply)
+    void take(std::size_t index, instant sentAt, const http_response &reply)
     {
         auto &state = m_states[index];
         state.ended = true;
         state.endedAt = event_loop::now();
         const auto json = nlohmann::json::parse(reply.body, nullptr, false);
-        if (reply.end != http_end::answered || !json.is_object()) {
+        if (reply.end != http_end::complete || !json.is_object()) {
             state.outcome = outcome_kind::may_have_run;
             state.reason = "connection failed";
             return;
@@ -147,7 +147,7 @@
     }
 
     /// @returns whether the request is sent again.
-    bool resend(std::size_t index, const http_reply &reply)
+    bool resend(std::size_t index, const http_response &reply)
     {
         const auto &state = m_states[index];
         const auto &source = m_settings.workloads[m_requests[index].workload];
--- a/tools/standin_platform_service.cpp
+++ b/tools/standin_platform_service.cpp
@@ -106,17 +106,17 @@
         return candidate.method == exchange->method && candidate.path == exchange->path;
     });
     if (found == kRoutes.end())
-        return exchange->reply(404, {});
+        return exchange->respond(404, {});
     (this->*found->serve)(exchange);
 }
 
 void standin_platform::answer(const http_exchange_ptr &exchange, int status, std::string body, http_headers headers)
 {
     if (m_faults.slowMs <= 0)
-        return exchange->reply(status, body, headers);
+        return exchange->respond(status, body, headers);
     m_loop.after(std::chrono::milliseconds(m_faults.slowMs),
                  [exchange, status, body = std::move(body), headers = std::move(headers)] {
-                     exchange->reply(status, body, headers);
+                     exchange->respond(status, body, headers);
                  });
 }
 
@@ -145,7 +145,7 @@
     case http_method::remove:
         return serveRemove(exchange, key);
     default:
-        return exchange->reply(405, {});
+        return exchange->respond(405, {});
     }
 }
 
@@ -170,7 +170,7 @@
     m_watchers.push_back({key, seen, exchange});
     m_loop.after(std::chrono::milliseconds(timeout), [this, exchange] {
         if (std::erase_if(m_watchers, [&](const watcher &entry) { return entry.exchange == exchange; }) > 0)
-            exchange->reply(304, {});
+            exchange->respond(304, {});
     });
 }
 
@@ -188,9 +188,9 @@
 {
     const auto expected = expectedVersion(*exchange);
     if (!expected)
-        return exchange->reply(428, {});
+        return exchange->respond(428, {});
     if (exchange->body.size() > kObjectLimitBytes)
-        return exchange->reply(413, {});
+        return exchange->respond(413, {});
     ++m_counts["writes"];
     const auto version = m_objects.write(key, exchange->body, *expected);
     if (!version) {
@@ -205,7 +205,7 @@
 {
     const auto expected = expectedVersion(*exchange);
     if (!expected)
-        return exchange->reply(428, {});
+        return exchange->respond(428, {});
     ++m_counts["deletes"];
     if (!m_objects.read(key))
         return answer(exchange, 404, {});
@@ -236,30 +236,30 @@
 {
     ++m_counts["host_lists"];
     if (m_faults.hostListDown)
-        return exchange->reply(503, {});
+        return exchange->respond(503, {});
     const auto time = event_loop::now() - std::chrono::milliseconds(m_faults.hostListLagMs);
     const auto list = m_hosts.listAt(time);
     const auto tag = '"' + list.at("version").dump() + '"';
     if (exchange->header("If-None-Match") == tag)
-        return exchange->reply(304, {}, {{"ETag", tag}});
-    exchange->reply(200, list.dump(), {{"Content-Type", "application/json"}, {"ETag", tag}});
+        return exchange->respond(304, {}, {{"ETag", tag}});
+    exchange->respond(200, list.dump(), {{"Content-Type", "application/json"}, {"ETag", tag}});
 }
 
 void standin_platform::serveHostChange(const http_exchange_ptr &exchange)
 {
     const bool isApplied = m_hosts.apply(json::parse(exchange->body, nullptr, false), event_loop::now());
-    exchange->reply(isApplied ? 200 : 400, {});
+    exchange->respond(isApplied ? 200 : 400, {});
 }
 
 void standin_platform::serveRating(const http_exchange_ptr &exchange)
 {
     ++m_counts["ratings"];
     if (m_faults.ratingDown)
-        return exchange->reply(503, {});
+        return exchange->respond(503, {});
     const auto body = json::parse(exchange->body, nullptr, false);
     if (!body.is_object() || !body.contains("text") || !body["text"].is_string())
-        return exchange->reply(400, {});
-    exchange->reply(200, json{{"score", scoreIn(body["text"].get<std::string>())}}.dump());
+        return exchange->respond(400, {});
+    exchange->respond(200, json{{"score", scoreIn(body["text"].get<std::string>())}}.dump());
 }
 
 bool standin_platform::takeWeight()
@@ -279,9 +279,9 @@
 {
     ++m_counts["weights"];
     if (takeWeight())
-        return exchange->reply(200, {});
+        return exchange->respond(200, {});
     ++m_counts["weights_refused"];
-    exchange->reply(429, {}, {{"Retry-After", "1"}});
+    exchange->respond(429, {}, {{"Retry-After", "1"}});
 }
 
 void standin_platform::serveFaults(const http_exchange_ptr &exchange)
@@ -293,9 +293,9 @@
     take(body, "host_list_lag_ms", m_faults.hostListLagMs);
     take(body, "host_list_down", m_faults.hostListDown);
     take(body, "rating_down", m_faults.ratingDown);
-    exchange->reply(200, {});
+    exchange->respond(200, {});
 } catch (const json::exception &failure) {
-    exchange->reply(400, failure.what());
+    exchange->respond(400, failure.what());
 }
 
 void standin_platform::serveCounts(const http_exchange_ptr &exchange)
@@ -304,7 +304,7 @@
     for (const char *name : {"reads", "writes", "conflicts", "deletes", "lists", "watches", "refused", "lost_answers",
                              "host_lists", "ratings", "weights", "weights_refused"})
         counts[name] = m_counts[name];
-    exchange->reply(200, counts.dump(), {{"Content-Type", "application/json"}});
+    exchange->respond(200, counts.dump(), {{"Content-Type", "application/json"}});
 }
 
 } // namespace foxtaildyke
--- a/tools/standin_upstream_control.cpp
+++ b/tools/standin_upstream_control.cpp
@@ -45,7 +45,7 @@
         measureLoad();
     auto report = m_load;
     report["now_ms"] = unixMs();
-    exchange->reply(200, report.dump(), kJsonHeader);
+    exchange->respond(200, report.dump(), kJsonHeader);
 }
 
 void standin_upstream::applyOrder(const std::string &order, const std::string &version)
@@ -64,18 +64,18 @@
     const auto order = body.at("order").get<std::string>();
     const auto fencing = body.at("fencing").get<std::uint64_t>();
     if (order != "load" && order != "unload" && order != "role")
-        return exchange->reply(400, {});
+        return exchange->respond(400, {});
     if (m_options.checksFencing && fencing < m_fencing) {
         ++m_counts["orders_refused"];
-        return exchange->reply(409, json{{"fencing", m_fencing}}.dump(), kJsonHeader);
+        return exchange->respond(409, json{{"fencing", m_fencing}}.dump(), kJsonHeader);
     }
     m_fencing = std::max(m_fencing, fencing);
     ++m_counts["orders_taken"];
     applyOrder(order, body.value(order == "role" ? "role" : "version", ""));
     registerAt(m_port);
-    exchange->reply(200, json{{"versions", m_options.versions}, {"role", m_role}}.dump(), kJsonHeader);
+    exchange->respond(200, json{{"versions", m_options.versions}, {"role", m_role}}.dump(), kJsonHeader);
 } catch (const json::exception &) {
-    exchange->reply(400, {});
+    exchange->respond(400, {});
 }
 
 void standin_upstream::serveFaults(const http_exchange_ptr &exchange)
@@ -91,11 +91,11 @@
         m_state = body["leave"].get<bool>() ? "leaving" : "live";
         registerAt(m_port);
     }
-    exchange->reply(200, {});
+    exchange->respond(200, {});
     if (body.value("crash", false))
         m_loop.after(std::chrono::milliseconds(1), [] { _exit(1); });
 } catch (const json::exception &failure) {
-    exchange->reply(400, failure.what());
+    exchange->respond(400, failure.what());
 }
 
 void standin_upstream::serveCounts(const http_exchange_ptr &exchange)
@@ -111,7 +111,7 @@
                 {"fencing", m_fencing}};
     for (const char *name : {"orders_taken", "orders_refused", "cancelled", "overloaded"})
         counts[name] = m_counts[name];
-    exchange->reply(200, counts.dump(), kJsonHeader);
+    exchange->respond(200, counts.dump(), kJsonHeader);
 }
 
 nlohmann::json standin_upstream::hostEntry() const
@@ -143,8 +143,8 @@
     request.path = "/hosts";
     request.body = hostEntry().dump();
     http_handlers handlers;
-    handlers.onDone = [this, isDone = m_isRegistered](const http_reply &reply) {
-        if (*isDone || (reply.end == http_end::answered && reply.status == 200))
+    handlers.onDone = [this, isDone = m_isRegistered](const http_response &reply) {
+        if (*isDone || (reply.end == http_end::complete && reply.status == 200))
             return;
         m_loop.after(kRegisterPeriod, [this, isDone] {
             if (!*isDone)
--- a/tools/standin_upstream_service.cpp
+++ b/tools/standin_upstream_service.cpp
@@ -63,7 +63,7 @@
         return candidate.method == exchange->method && candidate.path == exchange->path;
     });
     if (found == kRoutes.end())
-        return exchange->reply(404, {});
+        return exchange->respond(404, {});
     (this->*found->serve)(exchange);
 }
 
@@ -91,13 +91,13 @@
 {
     if (m_faults.overload) {
         ++m_counts["overloaded"];
-        return exchange->reply(429, {}, {{"Retry-After", "1"}});
+        return exchange->respond(429, {}, {{"Retry-After", "1"}});
     }
     const auto next = readRun(exchange);
     if (!next)
-        return exchange->reply(400, {});
+        return exchange->respond(400, {});
     if (!m_options.versions.contains(next->version))
-        return exchange->reply(404, {});
+        return exchange->respond(404, {});
     // The pointer is weak because the run owns the exchange.
     exchange->onClosed = [this, weak = std::weak_ptr(next)] {
         if (const auto closed = weak.lock())
@@ -110,7 +110,7 @@
                                         [](std::size_t sum, const auto &item) { return sum + item.second.size(); });
     if (queued >= m_options.queueLimit) {
         ++m_counts["overloaded"];
-        return exchange->reply(503, {}, {{"Retry-After", "1"}});
+        return exchange->respond(503, {}, {{"Retry-After", "1"}});
     }
     m_queue[next->priority].push_back(next);
 }
