--- a/src/gateway_exchange_p.h
+++ b/src/gateway_exchange_p.h
@@ -32,7 +32,7 @@
     retry_budget budget;
     rollout_policy rollouts;
     cascade_settings cascade;
-    upstream_pool pool;
+    connection_pool pool;
     std::mt19937_64 random;
 
     /// @returns whether keys may be accepted: the configuration is recent enough that no accepted key can have been
@@ -43,7 +43,7 @@
 class gateway_exchange : public request_work, private upstream_listener
 {
 public:
-    gateway_exchange(gateway_state &state, caller_request request, caller_reply &reply);
+    gateway_exchange(gateway_state &state, caller_request request, caller_response &reply);
     ~gateway_exchange() override;
 
     /// Starts processing; the request may already be finished when this returns.
@@ -104,7 +104,7 @@
 
     gateway_state &m_state;
     caller_request m_request;
-    caller_reply &m_reply;
+    caller_response &m_callerResponse;
     request_metadata m_facts;
     gateway_config_ptr m_config; ///< active when the request arrived
     const gateway_route *m_route = nullptr; ///< in m_config
--- a/tests/gateway_process.cpp
+++ b/tests/gateway_process.cpp
@@ -130,19 +130,19 @@
     return caller.responses.empty() ? received_response{} : caller.responses[0];
 }
 
-http_reply gateway_process::get(std::uint16_t port, const std::string &path)
+http_response gateway_process::get(std::uint16_t port, const std::string &path)
 {
-    std::optional<http_reply> response;
+    std::optional<http_response> response;
     http_request request;
     request.endpoint = {"127.0.0.1", port};
     request.path = path;
     http_handlers handlers;
-    handlers.onDone = [&response](const http_reply &received) {
+    handlers.onDone = [&response](const http_response &received) {
         response = received;
     };
     m_client.start(std::move(request), std::move(handlers));
     runUntil([&response] { return response.has_value(); });
-    return response.value_or(http_reply{});
+    return response.value_or(http_response{});
 }
 
 int gateway_process::readiness()
