--- a/src/command_line.cpp
+++ b/src/command_line.cpp
@@ -140,12 +140,13 @@
     return found == options.end() ? std::string() : found->second;
 }
 
-std::optional<std::int64_t> command_line::number(const std::string &name, std::int64_t least, std::int64_t most) const
+std::optional<std::int64_t> command_line::number(const std::string &name, std::int64_t minimum,
+                                                 std::int64_t maximum) const
 {
     const auto value = text(name);
     std::int64_t parsed = 0;
     const auto read = std::from_chars(value.data(), value.data() + value.size(), parsed);
-    if (read.ec != std::errc{} || read.ptr != value.data() + value.size() || parsed < least || parsed > most)
+    if (read.ec != std::errc{} || read.ptr != value.data() + value.size() || parsed < minimum || parsed > maximum)
         return std::nullopt;
     return parsed;
 }
--- a/src/config_holder.cpp
+++ b/src/config_holder.cpp
@@ -59,7 +59,7 @@
 {
 }
 
-result<bool> config_holder::take(const config_content &content)
+result<bool> config_holder::apply(const config_content &content)
 {
     if (!content.document.empty()) {
         auto document = decodeConfig(content.document);
--- a/src/config_holder_p.h
+++ b/src/config_holder_p.h
@@ -14,7 +14,7 @@
 
     /// Takes a newer document or the changes after the one held.
     /// @returns whether the document held is newer than before; or the error that made it unusable.
-    [[nodiscard]] result<bool> take(const config_content &content);
+    [[nodiscard]] result<bool> apply(const config_content &content);
 
     /// @returns what a host that holds this generation lacks.
     [[nodiscard]] config_content contentAfter(generation_number generation) const;
--- a/src/process_settings_p.h
+++ b/src/process_settings_p.h
@@ -74,8 +74,8 @@
     [[nodiscard]] std::string text(const std::string &name) const;
 
     /// @returns the number, or nothing where the value is not a number in the range.
-    [[nodiscard]] std::optional<std::int64_t> number(const std::string &name, std::int64_t least,
-                                                     std::int64_t most) const;
+    [[nodiscard]] std::optional<std::int64_t> number(const std::string &name, std::int64_t minimum,
+                                                     std::int64_t maximum) const;
 };
 
 [[nodiscard]] std::string helpText(const program_spec &program);
--- a/src/relay_task.cpp
+++ b/src/relay_task.cpp
@@ -172,7 +172,7 @@
 
 void relay_task::adopt(const config_content &content, const char *source)
 {
-    const auto taken = m_config.take(content);
+    const auto taken = m_config.apply(content);
     if (taken.has_error())
         return noteRejected(taken.error().field);
     if (!taken.value())
--- a/src/settings_reference.cpp
+++ b/src/settings_reference.cpp
@@ -54,9 +54,9 @@
 template <typename entry>
 std::string rangeText(const key_row<entry> &row)
 {
-    if (row.least == 0 && row.most == 0)
+    if (row.minimum == 0 && row.maximum == 0)
         return "-";
-    const auto range = numberText(row.least) + " to " + numberText(row.most);
+    const auto range = numberText(row.minimum) + " to " + numberText(row.maximum);
     if (row.unit == "text" || row.unit == "name" || row.unit == "IP address")
         return range + " characters";
     return row.unit == "names" ? range + " names" : range;
--- a/src/settings_table.cpp
+++ b/src/settings_table.cpp
@@ -24,16 +24,16 @@
     return parsed.ec == std::errc() && parsed.ptr == end;
 }
 
-bool isInRange(double value, double least, double most)
+bool isInRange(double value, double minimum, double maximum)
 {
-    return std::isfinite(value) && value >= least && value <= most;
+    return std::isfinite(value) && value >= minimum && value <= maximum;
 }
 
 /// Reads one value; an error_code instead of an error, because the caller knows the name of the field.
 struct value_reader {
     std::string_view text;
-    double least = 0;
-    double most = 0;
+    double minimum = 0;
+    double maximum = 0;
     std::string_view unit;
     const fleet &owner;
 
@@ -43,7 +43,7 @@
     outcome operator()(std::string &value) const
     {
         value = text;
-        if (!isInRange(static_cast<double>(text.size()), least, most) || text.find(' ') != std::string_view::npos)
+        if (!isInRange(static_cast<double>(text.size()), minimum, maximum) || text.find(' ') != std::string_view::npos)
             return kOutOfRange;
         std::array<unsigned char, sizeof(in6_addr)> parsed{};
         const bool isAddress = unit == "IP address";
@@ -56,7 +56,7 @@
     template <typename number>
     requires std::is_arithmetic_v<number> outcome operator()(number &value) const
     {
-        if (!parseNumber(text, value) || !isInRange(static_cast<double>(value), least, most))
+        if (!parseNumber(text, value) || !isInRange(static_cast<double>(value), minimum, maximum))
             return kOutOfRange;
         return std::nullopt;
     }
@@ -106,7 +106,7 @@
                 return kOutOfRange;
             value.push_back(model);
         }
-        return isInRange(static_cast<double>(value.size()), least, most) ? std::nullopt : outcome(kOutOfRange);
+        return isInRange(static_cast<double>(value.size()), minimum, maximum) ? std::nullopt : outcome(kOutOfRange);
     }
 
     outcome operator()(std::vector<version_handle> &value) const
@@ -117,7 +117,7 @@
         }
         std::ranges::sort(value);
         value.erase(std::unique(value.begin(), value.end()), value.end());
-        return isInRange(static_cast<double>(value.size()), least, most) ? std::nullopt : outcome(kOutOfRange);
+        return isInRange(static_cast<double>(value.size()), minimum, maximum) ? std::nullopt : outcome(kOutOfRange);
     }
 
     /// Adds a version, or all versions of a model.
@@ -291,7 +291,7 @@
 template <typename entry>
 result<void> assignKey(const key_row<entry> &row, entry &target, std::string_view text, const fleet &owner)
 {
-    const value_reader reader{text, row.least, row.most, row.unit, owner};
+    const value_reader reader{text, row.minimum, row.maximum, row.unit, owner};
     const auto failure = std::visit([&](auto member) { return reader(fieldOf(target, member)); }, row.field);
     if (failure)
         return error{*failure, std::string(row.key)};
--- a/src/settings_table_p.h
+++ b/src/settings_table_p.h
@@ -38,8 +38,8 @@
     std::string_view key;
     key_field<entry> field;
     std::string_view unit;
-    double least = 0; ///< of a number its value, of a text its length, of a list its number of entries
-    double most = 0;
+    double minimum = 0; ///< of a number its value, of a text its length, of a list its number of entries
+    double maximum = 0;
     bool required = false;
     overlay_rule overlay = overlay_rule::fixed;
     std::string_view meaning;
