--- a/src/admin_api.cpp
+++ b/src/admin_api.cpp
@@ -35,7 +35,7 @@
 
 milliseconds waitOf(std::uint64_t wanted)
 {
-    const auto most = static_cast<std::uint64_t>(admin_api::kLongestWait.count());
+    const auto most = static_cast<std::uint64_t>(admin_api::kMaxWait.count());
     return milliseconds(static_cast<std::int64_t>(std::min(wanted, most)));
 }
 
@@ -63,7 +63,7 @@
 
 } // namespace
 
-result<std::vector<operator_account>> takeOperators(ini_document &sections)
+result<std::vector<operator_account>> extractOperators(ini_document &sections)
 {
     std::vector<operator_account> operators;
     for (auto section = sections.begin(); section != sections.end();) {
@@ -131,15 +131,15 @@
 {
     const auto *author = authenticate(request.authorization);
     if (!author)
-        return done(errorReply({error_code::unauthenticated, "Authorization"}));
+        return done(errorResponse({error_code::unauthenticated, "Authorization"}));
     const auto isMatch = [&](const route &one) {
         return one.path == request.path && one.method == request.method;
     };
     const auto found = std::ranges::find_if(routes(), isMatch);
     if (found == routes().end())
-        return done(errorReply({error_code::not_found, request.path}));
+        return done(errorResponse({error_code::not_found, request.path}));
     if (author->role < found->role)
-        return done(errorReply({error_code::forbidden, request.path}));
+        return done(errorResponse({error_code::forbidden, request.path}));
     (this->*found->handler)({&request, author, std::move(done)});
 }
 
@@ -148,9 +148,9 @@
     const auto body = parseObject(open.request->body);
     const auto sent = body.has_value() ? readSettings(body.value()) : result<sent_settings>(body.error());
     if (sent.has_error())
-        return open.done(errorReply(sent.error()));
+        return open.done(errorResponse(sent.error()));
     const auto checked = checkLayers(sent.value().layers);
-    open.done(checked.has_error() ? errorReply(checked.error()) : jsonReply(200, {{"valid", true}}));
+    open.done(checked.has_error() ? errorResponse(checked.error()) : jsonResponse(200, {{"valid", true}}));
 }
 
 void admin_api::diff(const call &open)
@@ -158,12 +158,12 @@
     const auto body = parseObject(open.request->body);
     auto sent = body.has_value() ? readSettings(body.value()) : result<sent_settings>(body.error());
     if (sent.has_error())
-        return open.done(errorReply(sent.error()));
+        return open.done(errorResponse(sent.error()));
     m_control.read([sent = sent.value(), done = open.done](const result<config_document> &current) {
         if (current.has_error())
-            return done(errorReply(current.error()));
+            return done(errorResponse(current.error()));
         const auto edits = diffLayers(current.value().layers, mergeHosts(sent, current.value()));
-        done(jsonReply(200, {{"generation", current.value().generation}, {"edits", shownEdits(edits)}}));
+        done(jsonResponse(200, {{"generation", current.value().generation}, {"edits", editsToJson(edits)}}));
     });
 }
 
@@ -172,7 +172,7 @@
     const auto body = parseObject(open.request->body);
     auto sent = body.has_value() ? readSettings(body.value()) : result<sent_settings>(body.error());
     if (sent.has_error())
-        return open.done(errorReply(sent.error()));
+        return open.done(errorResponse(sent.error()));
     change(open, [sent = sent.value()](const config_document &current) {
         return result<std::vector<config_edit>>(diffLayers(current.layers, mergeHosts(sent, current)));
     });
@@ -183,7 +183,7 @@
     const auto body = parseObject(open.request->body);
     const auto version = body.has_value() ? memberOf<std::string>(body.value(), "version") : std::nullopt;
     if (!version)
-        return open.done(errorReply({error_code::protocol_violation, "version"}));
+        return open.done(errorResponse({error_code::protocol_violation, "version"}));
     change(open, [version = *version](const config_document &) {
         return result<std::vector<config_edit>>(std::vector{withdrawalOf(version)});
     });
@@ -193,12 +193,12 @@
 {
     const auto body = parseObject(open.request->body);
     if (body.has_error())
-        return open.done(errorReply(body.error()));
+        return open.done(errorResponse(body.error()));
     const auto version = memberOf<std::string>(body.value(), "version");
     const auto action = valueOf<rollout_action>(memberOf<std::string>(body.value(), "action").value_or(""));
     const auto share = memberOf<std::uint32_t>(body.value(), "share_permille").value_or(0);
     if (!version || !action)
-        return open.done(errorReply({error_code::protocol_violation, version ? "action" : "version"}));
+        return open.done(errorResponse({error_code::protocol_violation, version ? "action" : "version"}));
     change(open, [version = *version, action = *action, share](const config_document &current) {
         return rolloutEdits(current.layers, action, version, share);
     });
@@ -209,50 +209,50 @@
     const auto body = parseObject(open.request->body).value();
     const auto changeId = memberOf<std::string>(body, "change_id").value_or("");
     if (changeId.empty() || changeId.size() > kMostChangeId)
-        return open.done(errorReply({error_code::protocol_violation, "change_id"}));
+        return open.done(errorResponse({error_code::protocol_violation, "change_id"}));
     const auto seen = memberOf<generation_number>(body, "generation");
     const auto wait = waitOf(memberOf<std::uint64_t>(body, "wait_ms").value_or(0));
     change_request request{changeId, open.author->name, m_unixMs, 0, {}};
     m_control.read([this, request, seen, wait, source = std::move(source),
                     done = open.done](const result<config_document> &current) mutable {
         if (current.has_error())
-            return done(errorReply(current.error()));
+            return done(errorResponse(current.error()));
         const auto &history = current.value().history;
         const bool isKnown = std::ranges::find(history, request.changeId, &config_change::changeId) != history.end();
         // A change that was made already must not be derived again from what it made.
         auto edits = isKnown ? result<std::vector<config_edit>>(std::vector<config_edit>{}) : source(current.value());
         if (edits.has_error())
-            return done(errorReply(edits.error()));
+            return done(errorResponse(edits.error()));
         request.edits = std::move(edits.value());
         request.seen = seen.value_or(current.value().generation);
         m_control.publish(request, [this, request, wait, done](const result<published_change> &published) {
             if (published.has_error())
-                return done(errorReply(published.error()));
+                return done(errorResponse(published.error()));
             const auto generation = published.value().generation;
             if (published.value().isNew)
                 m_onEvent({"change_published", {}, {}, request.author + ' ' + request.changeId, generation});
-            answerAccepted(generation, wait, done);
+            respondWhenAccepted(generation, wait, done);
         });
     });
 }
 
-void admin_api::answerAccepted(generation_number generation, milliseconds wait, done_callback done)
+void admin_api::respondWhenAccepted(generation_number generation, milliseconds wait, done_callback done)
 {
-    const bool isAccepted = m_control.changes().accepted() >= generation;
-    if (isAccepted || wait.count() == 0 || m_waiting.size() >= kMostWaiting)
-        return done(acceptanceReply(generation));
+    const bool isAccepted = m_control.acceptanceState().accepted() >= generation;
+    if (isAccepted || wait.count() == 0 || m_waiting.size() >= kMaxWaiting)
+        return done(acceptanceResponse(generation));
     m_waiting.push_back({generation, m_now + wait, std::move(done)});
 }
 
-admin_reply admin_api::acceptanceReply(generation_number generation) const
+admin_response admin_api::acceptanceResponse(generation_number generation) const
 {
-    const auto &changes = m_control.changes();
-    const bool isAccepted = changes.accepted() >= generation;
-    const auto missing = isAccepted ? std::vector<std::string>{} : changes.unacknowledged(generation);
-    return jsonReply(isAccepted ? 200 : 202,
-                     {{"generation", generation},
-                      {"state", isAccepted ? "accepted" : "written, pending"},
-                      {"unacknowledged_hosts", missing}});
+    const auto &acceptanceState = m_control.acceptanceState();
+    const bool isAccepted = acceptanceState.accepted() >= generation;
+    const auto missing = isAccepted ? std::vector<std::string>{} : acceptanceState.unacknowledged(generation);
+    return jsonResponse(isAccepted ? 200 : 202,
+                        {{"generation", generation},
+                         {"state", isAccepted ? "accepted" : "written, pending"},
+                         {"unacknowledged_hosts", missing}});
 }
 
 void admin_api::tick(instant now, std::int64_t unixMs)
@@ -262,26 +262,27 @@
     std::vector<waiter> ready;
     for (auto one = m_waiting.begin(); one != m_waiting.end();) {
         const auto next = std::next(one);
-        if (m_control.changes().accepted() >= one->generation || now >= one->until) {
+        if (m_control.acceptanceState().accepted() >= one->generation || now >= one->until) {
             ready.push_back(std::move(*one));
             m_waiting.erase(one);
         }
         one = next;
     }
     for (const auto &one : ready)
-        one.done(acceptanceReply(one.generation));
+        one.done(acceptanceResponse(one.generation));
 }
 
 void admin_api::status(const call &open)
 {
     m_control.read([this, done = open.done](const result<config_document> &current) {
-        json body{{"holds_lease", m_control.isHolder()}, {"accepted_generation", m_control.changes().accepted()}};
+        json body{{"holds_lease", m_control.isHolder()},
+                  {"accepted_generation", m_control.acceptanceState().accepted()}};
         if (current.has_value())
             body["generation"] = current.value().generation;
         else
             body["store_error"] = nameOf(current.error().code);
-        body["router"] = m_control.routerStatus() ? shownStatus(*m_control.routerStatus()) : json();
-        done(jsonReply(200, body));
+        body["router"] = m_control.routerStatus() ? statusToJson(*m_control.routerStatus()) : json();
+        done(jsonResponse(200, body));
     });
 }
 
@@ -289,16 +290,16 @@
 {
     m_control.read([this, done = open.done](const result<config_document> &current) {
         if (current.has_error())
-            return done(errorReply(current.error()));
+            return done(errorResponse(current.error()));
         auto list = json::array();
         for (const auto &change : current.value().history) {
-            if (change.generation <= m_control.changes().accepted())
+            if (change.generation <= m_control.acceptanceState().accepted())
                 continue;
-            auto shown = shownChange(change);
-            shown["unacknowledged_hosts"] = m_control.changes().unacknowledged(change.generation);
+            auto shown = changeToJson(change);
+            shown["unacknowledged_hosts"] = m_control.acceptanceState().unacknowledged(change.generation);
             list.push_back(std::move(shown));
         }
-        done(jsonReply(200, {{"pending", list}}));
+        done(jsonResponse(200, {{"pending", list}}));
     });
 }
 
@@ -306,11 +307,11 @@
 {
     m_control.read([done = open.done](const result<config_document> &current) {
         if (current.has_error())
-            return done(errorReply(current.error()));
+            return done(errorResponse(current.error()));
         auto list = json::array();
         for (const auto &change : current.value().history)
-            list.push_back(shownChange(change));
-        done(jsonReply(200, {{"history", list}}));
+            list.push_back(changeToJson(change));
+        done(jsonResponse(200, {{"history", list}}));
     });
 }
 
@@ -322,10 +323,10 @@
     m_control.read([this, wait, generation, done = open.done](const result<config_document> &current) {
         const bool isKnown = generation <= m_control.document().generation;
         if (!isKnown && current.has_error())
-            return done(errorReply(current.error()));
+            return done(errorResponse(current.error()));
         if (!isKnown)
-            return done(errorReply({error_code::not_found, "generation"}));
-        answerAccepted(generation, wait, done);
+            return done(errorResponse({error_code::not_found, "generation"}));
+        respondWhenAccepted(generation, wait, done);
     });
 }
 
--- a/src/admin_api_p.h
+++ b/src/admin_api_p.h
@@ -29,7 +29,7 @@
 
 /// Takes the sections `[operator NAME]` with key= and role= out of a settings file.
 /// @returns the operators, or the first error with the field as "section/key".
-[[nodiscard]] result<std::vector<operator_account>> takeOperators(ini_document &sections);
+[[nodiscard]] result<std::vector<operator_account>> extractOperators(ini_document &sections);
 
 struct admin_request {
     std::string method; ///< "GET" or "POST"
@@ -39,7 +39,7 @@
     std::string body;
 };
 
-struct admin_reply {
+struct admin_response {
     int status = 200;
     std::string body; ///< JSON
 };
@@ -47,10 +47,10 @@
 class admin_api
 {
 public:
-    using done_callback = std::function<void(admin_reply)>;
+    using done_callback = std::function<void(admin_response)>;
 
-    static constexpr std::chrono::milliseconds kLongestWait{30000};
-    static constexpr std::size_t kMostWaiting = 256; ///< callers that wait for acceptance at once
+    static constexpr std::chrono::milliseconds kMaxWait{30000};
+    static constexpr std::size_t kMaxWaiting = 256; ///< callers that wait for acceptance at once
 
     admin_api(controller &control, std::vector<operator_account> operators, controller::event_sink onEvent);
 
@@ -91,8 +91,8 @@
     /// Publishes edits that are derived from the present configuration.
     using edit_source = std::function<result<std::vector<config_edit>>(const config_document &)>;
     void change(const call &open, edit_source source);
-    void answerAccepted(generation_number generation, std::chrono::milliseconds wait, done_callback done);
-    [[nodiscard]] admin_reply acceptanceReply(generation_number generation) const;
+    void respondWhenAccepted(generation_number generation, std::chrono::milliseconds wait, done_callback done);
+    [[nodiscard]] admin_response acceptanceResponse(generation_number generation) const;
 
     controller &m_control;
     std::vector<operator_account> m_operators;
--- a/src/admin_json.cpp
+++ b/src/admin_json.cpp
@@ -75,18 +75,18 @@
     return layers;
 }
 
-admin_reply jsonReply(int status, const json &body)
+admin_response jsonResponse(int status, const json &body)
 {
     return {status, body.dump(-1, ' ', false, json::error_handler_t::replace) + '\n'};
 }
 
-admin_reply errorReply(const error &failure)
+admin_response errorResponse(const error &failure)
 {
-    return jsonReply(httpStatusOf(failure.code),
-                     {{"error", {{"code", nameOf(failure.code)}, {"field", failure.field}}}});
+    return jsonResponse(httpStatusOf(failure.code),
+                        {{"error", {{"code", nameOf(failure.code)}, {"field", failure.field}}}});
 }
 
-json shownEdits(const std::vector<config_edit> &edits)
+json editsToJson(const std::vector<config_edit> &edits)
 {
     auto list = json::array();
     for (const auto &edit : edits) {
@@ -98,16 +98,16 @@
     return list;
 }
 
-json shownChange(const config_change &change)
+json changeToJson(const config_change &change)
 {
     return {{"generation", change.generation},
             {"change_id", change.changeId},
             {"author", change.author},
             {"unix_ms", change.unixMs},
-            {"edits", shownEdits(change.edits)}};
+            {"edits", editsToJson(change.edits)}};
 }
 
-json shownStatus(const host_status &status)
+json statusToJson(const host_status &status)
 {
     return {{"generation", status.generation},       {"recovering", status.recovering},
             {"may_dispatch", status.mayDispatch},    {"acknowledged_hosts", status.acknowledged},
--- a/src/admin_json_p.h
+++ b/src/admin_json_p.h
@@ -35,12 +35,12 @@
 /// @returns the layers that result if an operator's files are applied to the present configuration.
 [[nodiscard]] config_layers mergeHosts(const sent_settings &sent, const config_document &current);
 
-[[nodiscard]] admin_reply jsonReply(int status, const nlohmann::json &body);
-[[nodiscard]] admin_reply errorReply(const error &failure);
+[[nodiscard]] admin_response jsonResponse(int status, const nlohmann::json &body);
+[[nodiscard]] admin_response errorResponse(const error &failure);
 
 /// @returns edits for display: keys of accounts and sessions are replaced.
-[[nodiscard]] nlohmann::json shownEdits(const std::vector<config_edit> &edits);
-[[nodiscard]] nlohmann::json shownChange(const config_change &change);
-[[nodiscard]] nlohmann::json shownStatus(const host_status &status);
+[[nodiscard]] nlohmann::json editsToJson(const std::vector<config_edit> &edits);
+[[nodiscard]] nlohmann::json changeToJson(const config_change &change);
+[[nodiscard]] nlohmann::json statusToJson(const host_status &status);
 
 } // namespace foxtaildyke
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -244,7 +244,7 @@
     auto &state = m_orders[key];
     const auto open = std::ranges::count_if(m_orders, [](const auto &entry) { return entry.second.open; });
     const bool isEarly = state.sentAt != instant{} && m_now - state.sentAt < kOrderRetry;
-    if (state.open || isEarly || static_cast<std::size_t>(open) >= kMostOpenOrders)
+    if (state.open || isEarly || static_cast<std::size_t>(open) >= kMaxOpenOrders)
         return;
     state = {m_now, true};
     const engine_order order{target, model.name, version.name, m_lease.token()};
@@ -263,7 +263,7 @@
     if (loaded.has_error() && loaded.error().code == error_code::conflict) {
         emit({"order_fenced", order.version, order.target.name, {}, m_document.generation});
         if (order.token == m_lease.token())
-            m_lease.giveUp();
+            m_lease.relinquish();
         return;
     }
     const bool isRead = loaded.has_value() && std::ranges::find(loaded.value(), order.version) != loaded.value().end();
--- a/src/controller_lease.cpp
+++ b/src/controller_lease.cpp
@@ -53,7 +53,7 @@
     if (m_busy || now < m_nextAt)
         return;
     const bool isHolder = mayAct(now);
-    m_nextAt = now + (isHolder ? kRenewEvery : pollEvery);
+    m_nextAt = now + (isHolder ? kRenewPeriod : pollEvery);
     if (isHolder && m_seenVersion)
         return writeLease({m_holder, m_written.token, m_written.renewal + 1});
     readLease();
@@ -61,10 +61,10 @@
 
 bool controller_lease::mayOrderUnfenced(instant now) const
 {
-    return mayAct(now) && now - m_takenAt >= kPeriod + kDrift;
+    return mayAct(now) && now - m_takenAt >= kPeriod + kClockDriftMargin;
 }
 
-void controller_lease::giveUp()
+void controller_lease::relinquish()
 {
     m_actUntil = {};
     m_seenVersion.reset();
@@ -155,7 +155,7 @@
 {
     if (m_written.renewal == 1)
         m_takenAt = m_writeStarted;
-    m_actUntil = m_writeStarted + kActFor;
+    m_actUntil = m_writeStarted + kActDuration;
 }
 
 } // namespace foxtaildyke
--- a/src/controller_lease_p.h
+++ b/src/controller_lease_p.h
@@ -23,9 +23,9 @@
 {
 public:
     static constexpr std::chrono::milliseconds kPeriod{6000};
-    static constexpr std::chrono::milliseconds kRenewEvery = kPeriod / 3;
-    static constexpr std::chrono::milliseconds kActFor = kPeriod - kPeriod / 3; ///< after a renewal began
-    static constexpr std::chrono::milliseconds kDrift = kPeriod / 10; ///< clocks that run at different rates
+    static constexpr std::chrono::milliseconds kRenewPeriod = kPeriod / 3;
+    static constexpr std::chrono::milliseconds kActDuration = kPeriod - kPeriod / 3; ///< after a renewal began
+    static constexpr std::chrono::milliseconds kClockDriftMargin = kPeriod / 10; ///< clocks that run at different rates
 
     /// @param holder unique to this process: a restarted process must not take its predecessor's lease for its own.
     controller_lease(object_store &store, std::string holder);
@@ -45,7 +45,7 @@
     [[nodiscard]] bool mayOrderUnfenced(instant now) const;
 
     /// Stops acting: an engine has seen a higher token.
-    void giveUp();
+    void relinquish();
 
     /// @returns the fencing token; meaningful while mayAct().
     [[nodiscard]] std::uint64_t token() const { return m_written.token; }
--- a/src/controller_p.h
+++ b/src/controller_p.h
@@ -74,7 +74,7 @@
     static constexpr std::chrono::milliseconds kReadPeriod{1000}; ///< of the configuration, by the holder
     static constexpr std::chrono::milliseconds kStatusPeriod{500};
     static constexpr std::chrono::milliseconds kOrderRetry{10000}; ///< to one engine for one version
-    static constexpr std::size_t kMostOpenOrders = 8;
+    static constexpr std::size_t kMaxOpenOrders = 8;
 
     using event_sink = std::function<void(controller_event)>;
 
@@ -97,7 +97,7 @@
     /// Takes the platform's host list.
     void setHosts(std::vector<listed_entry> entries, std::vector<upstream_info> upstreams);
 
-    [[nodiscard]] const acceptance &changes() const { return m_acceptance; }
+    [[nodiscard]] const acceptance &acceptanceState() const { return m_acceptance; }
     [[nodiscard]] bool isHolder() const { return m_lease.mayAct(m_now); }
     [[nodiscard]] const std::optional<host_status> &routerStatus() const { return m_status; }
     [[nodiscard]] const config_document &document() const { return m_document; }
--- a/src/publisher.cpp
+++ b/src/publisher.cpp
@@ -80,11 +80,11 @@
 result<std::string> encodeToFit(config_document &document)
 {
     auto text = encodeConfig(document);
-    while (text.size() > config_publisher::kMostBytes && document.history.size() > 1) {
+    while (text.size() > config_publisher::kMaxDocumentBytes && document.history.size() > 1) {
         document.history.erase(document.history.begin());
         text = encodeConfig(document);
     }
-    if (text.size() > config_publisher::kMostBytes)
+    if (text.size() > config_publisher::kMaxDocumentBytes)
         return error{error_code::too_large, kConfigKey};
     return text;
 }
@@ -236,7 +236,7 @@
     for (const auto &open : operations) {
         if (!open->started)
             open->started = now;
-        const auto isLate = now - *open->started >= kGiveUpAfter;
+        const auto isLate = now - *open->started >= kPublishTimeout;
         if (isLate && !open->finished)
             finish(open, error{open->inDoubt ? error_code::timed_out : error_code::unavailable, kConfigKey});
         else if (open->waiting && now >= open->retryAt)
--- a/src/publisher_p.h
+++ b/src/publisher_p.h
@@ -45,9 +45,9 @@
     using published_done = std::function<void(result<published_change>)>;
     using read_done = std::function<void(result<config_document>)>;
 
-    static constexpr std::size_t kMostBytes = 1'000'000; ///< values of the object API are up to 1 MB
+    static constexpr std::size_t kMaxDocumentBytes = 1'000'000; ///< values of the object API are up to 1 MB
     static constexpr std::chrono::milliseconds kRetryDelay{200};
-    static constexpr std::chrono::milliseconds kGiveUpAfter{10000};
+    static constexpr std::chrono::milliseconds kPublishTimeout{10000};
 
     explicit config_publisher(object_store &store);
     ~config_publisher();
--- a/tests/control_fakes_p.h
+++ b/tests/control_fakes_p.h
@@ -12,7 +12,7 @@
 /// What happens to the next write.
 enum class write_fault : std::uint8_t {
     none,
-    answer_lost, ///< takes effect, answered timed_out
+    response_lost, ///< takes effect, answered timed_out
     never_arrives, ///< answered timed_out without effect
     arrives_late, ///< answered timed_out; takes effect by the test's call of deliverLate(), if its condition holds
 };
@@ -51,7 +51,7 @@
             m_late = [this, key, body, expected] {
                 (void)put(key, body, expected);
             };
-        const bool takesEffect = fault == write_fault::none || fault == write_fault::answer_lost;
+        const bool takesEffect = fault == write_fault::none || fault == write_fault::response_lost;
         const auto written = takesEffect ? put(key, std::move(body), expected) : error{error_code::timed_out, key};
         if (fault != write_fault::none)
             return done(error{error_code::timed_out, key});
@@ -100,8 +100,8 @@
 class fake_status : public status_port
 {
 public:
-    result<host_status> answer = error{error_code::unavailable, "router"};
-    void status(status_done done) override { done(answer); }
+    result<host_status> response = error{error_code::unavailable, "router"};
+    void status(status_done done) override { done(response); }
 };
 
 class fake_orders : public order_port
--- a/tests/test_admin_api.cpp
+++ b/tests/test_admin_api.cpp
@@ -47,17 +47,17 @@
         }
     }
 
-    std::optional<admin_reply> send(admin_request request, const std::string &key)
+    std::optional<admin_response> send(admin_request request, const std::string &key)
     {
-        m_reply = std::make_shared<std::optional<admin_reply>>();
+        m_reply = std::make_shared<std::optional<admin_response>>();
         request.authorization = "Bearer " + key;
-        api.handle(request, [reply = m_reply](admin_reply one) { *reply = std::move(one); });
+        api.handle(request, [reply = m_reply](admin_response one) { *reply = std::move(one); });
         return *m_reply;
     }
 
-    admin_reply post(const std::string &path, const json &body, const std::string &key = "ada-operator-key")
+    admin_response post(const std::string &path, const json &body, const std::string &key = "ada-operator-key")
     {
-        return send({"POST", path, {}, {}, body.dump()}, key).value_or(admin_reply{0, ""});
+        return send({"POST", path, {}, {}, body.dump()}, key).value_or(admin_response{0, ""});
     }
 
     json get(const std::string &path, const std::map<std::string, std::string> &query = {})
@@ -65,21 +65,21 @@
         return json::parse(send({"GET", path, query, {}, {}}, "viewer-operator-key").value().body);
     }
 
-    [[nodiscard]] const std::optional<admin_reply> &lastReply() const { return *m_reply; }
+    [[nodiscard]] const std::optional<admin_response> &lastReply() const { return *m_reply; }
 
     void acknowledge(std::vector<std::string> hosts)
     {
-        host_status answer;
-        answer.generation = store.config().generation;
-        answer.acknowledged = std::move(hosts);
-        status.answer = answer;
+        host_status response;
+        response.generation = store.config().generation;
+        response.acknowledged = std::move(hosts);
+        status.response = response;
     }
 
 private:
-    std::shared_ptr<std::optional<admin_reply>> m_reply;
+    std::shared_ptr<std::optional<admin_response>> m_reply;
 };
 
-std::string codeOf(const admin_reply &reply)
+std::string codeOf(const admin_response &reply)
 {
     return json::parse(reply.body)["error"]["code"];
 }
@@ -233,10 +233,10 @@
 {
     const auto read = [](const std::string &text) {
         auto sections = parseIni(text).value();
-        return takeOperators(sections);
+        return extractOperators(sections);
     };
     auto sections = parseIni("[process]\nhost = h1\n[operator ada]\nkey = 0123456789abcdef\nrole = editor\n").value();
-    const auto operators = takeOperators(sections);
+    const auto operators = extractOperators(sections);
     REQUIRE(operators.has_value());
     CHECK(operators.value().at(0).name == "ada");
     CHECK(operators.value().at(0).role == operator_role::editor);
--- a/tests/test_controller.cpp
+++ b/tests/test_controller.cpp
@@ -81,7 +81,7 @@
     void acknowledge(const std::vector<std::string> &hosts)
     {
         for (auto *one : {&first, &second})
-            one->status.answer = statusOf(store.config().generation, hosts);
+            one->status.response = statusOf(store.config().generation, hosts);
     }
 };
 
@@ -222,7 +222,7 @@
         test.run(milliseconds(50));
     REQUIRE(other.control.isHolder());
     // The last renewal was at most one renewal period before the pause; a whole lease period has passed since.
-    CHECK(test.now - pausedAt >= controller_lease::kPeriod - controller_lease::kRenewEvery);
+    CHECK(test.now - pausedAt >= controller_lease::kPeriod - controller_lease::kRenewPeriod);
     holder.paused = false;
     for (int i = 0; i < 600; ++i) {
         test.run(milliseconds(50));
@@ -275,7 +275,7 @@
     test.second.paused = true;
     test.run(milliseconds(20000));
     REQUIRE(test.first.control.isHolder());
-    test.store.faults = {write_fault::answer_lost};
+    test.store.faults = {write_fault::response_lost};
     test.run(milliseconds(10000));
     CHECK(test.first.control.isHolder());
     CHECK(test.first.count("lease_lost") == 0);
@@ -291,7 +291,7 @@
 {
     deployment test;
     test.second.paused = true;
-    test.store.faults = {write_fault::answer_lost, write_fault::answer_lost};
+    test.store.faults = {write_fault::response_lost, write_fault::response_lost};
     test.run(milliseconds(10000));
     CHECK(test.first.control.isHolder());
 }
@@ -301,7 +301,7 @@
     deployment test;
     test.acknowledge(hostNames(1, 3));
     for (auto *one : {&test.first, &test.second})
-        one->status.answer.value().halted = {"v2", "unknown"};
+        one->status.response.value().halted = {"v2", "unknown"};
     test.run(milliseconds(20000));
     const auto config = test.store.config();
     CHECK(config.generation == 2);
--- a/tests/test_publisher.cpp
+++ b/tests/test_publisher.cpp
@@ -84,7 +84,7 @@
 TEST_CASE("a write whose answer is lost is found by its change id and made once")
 {
     fixture test;
-    test.store.faults = {write_fault::answer_lost};
+    test.store.faults = {write_fault::response_lost};
     const auto *outcome = test.publish("c1", 1, {setBurst("5")});
     REQUIRE(outcome->has_value());
     CHECK(outcome->value().generation == 2);
@@ -147,7 +147,7 @@
 TEST_CASE("a write in doubt at the end of the time is reported as such")
 {
     fixture test;
-    test.store.faults = {write_fault::answer_lost};
+    test.store.faults = {write_fault::response_lost};
     test.store.beforeWrite = [&] {
         test.store.outage = false;
     };
--- a/tools/control_process.cpp
+++ b/tools/control_process.cpp
@@ -41,7 +41,7 @@
     auto sections = readIniFile(path);
     if (sections.has_error())
         return sections.error();
-    auto operators = takeOperators(sections.value());
+    auto operators = extractOperators(sections.value());
     if (operators.has_error())
         return operators.error();
     auto process = checkProcessSettings(sections.value());
@@ -161,7 +161,7 @@
     request.query = exchange->query;
     request.authorization = exchange->header("Authorization");
     request.body = exchange->body;
-    m_api.handle(request, [exchange](const admin_reply &reply) {
+    m_api.handle(request, [exchange](const admin_response &reply) {
         if (exchange->isOpen())
             exchange->reply(reply.status, reply.body, kJsonHeader);
     });
@@ -181,14 +181,14 @@
 
 std::string control_process::metricsText() const
 {
-    const auto &changes = m_controller.changes();
+    const auto &acceptanceState = m_controller.acceptanceState();
     auto text = m_metrics.text();
     text += "# TYPE foxtaildyke_control_holds_lease gauge\n";
     text += metricLine("foxtaildyke_control_holds_lease", "", m_controller.isHolder() ? 1 : 0);
     text += "# TYPE foxtaildyke_control_newest_generation gauge\n";
     text += metricLine("foxtaildyke_control_newest_generation", "", m_controller.document().generation);
     text += "# TYPE foxtaildyke_control_accepted_generation gauge\n";
-    text += metricLine("foxtaildyke_control_accepted_generation", "", changes.accepted());
+    text += metricLine("foxtaildyke_control_accepted_generation", "", acceptanceState.accepted());
     text += "# TYPE foxtaildyke_control_router_answers gauge\n";
     text += metricLine("foxtaildyke_control_router_answers", "", m_controller.routerStatus() ? 1 : 0);
     text += "# TYPE foxtaildyke_control_events_total counter\n";
