--- a/src/load_poller_p.h
+++ b/src/load_poller_p.h
@@ -1,4 +1,4 @@
-// Polls load reports of the upstreams that this host uses, and chooses which those are.
+// Selects the upstreams that this host uses and polls their load reports.
 #pragma once
 
 #include "http_client_p.h"
@@ -9,12 +9,12 @@
 namespace foxtaildyke
 {
 
-/// Replicas of one version that a host uses at most.
-constexpr std::size_t kMaxReplicasPerVersion = 64;
+/// Maximum number of replicas of one version that a host uses.
+constexpr std::size_t kReplicasPerVersion = 64;
 
-/// Chooses the replicas that a host uses: for each version the live ones that come first in the rendezvous order of
-/// host and replica, and all that are leaving.
-/// @remarks Hosts choose different subsets, and a host's subset changes by one replica where one comes or goes.
+/// Selects the replicas that a host uses by rendezvous hashing of host and replica: for each version the live replicas
+/// with the lowest hashes, and all leaving replicas.
+/// @remarks Hosts select different subsets, and adding or removing one replica changes a host's subset by one replica.
 [[nodiscard]] std::vector<upstream_info> replicaSubset(std::string_view host, std::vector<upstream_info> upstreams,
                                                        std::size_t perVersion = kMaxReplicasPerVersion);
 
@@ -28,24 +28,24 @@
 
     void setUpstreams(std::vector<upstream_info> upstreams);
 
-    /// Asks every upstream once that has no call open.
+    /// Requests the load of every live upstream that has no call in flight.
     void poll();
 
 private:
-    void onReply(const std::string &upstream, instant askedAt, const http_reply &reply);
+    void onResponse(const std::string &upstream, instant startedAt, const http_reply &response);
 
     http_client &m_client;
     report_sink m_deliver;
     std::vector<upstream_info> m_upstreams;
-    std::map<std::string, http_call_id> m_open; ///< by upstream
+    std::map<std::string, http_call_id> m_openCalls; ///< by upstream name
 };
 
-/// Reads the body of GET /load.
-/// @param askedAt when the call began, on this host's clock.
-/// @remarks The upstream's clock is not compared with this host's: the age of the measurement is the difference of
-/// `now_ms` and `measured_at_ms`, both by the upstream, and it is counted from the start of the call. Where `now_ms` is
-/// missing the age is taken as 0.
+/// Parses the response body of GET /load.
+/// @param startedAt start of the call, on this host's clock.
+/// @remarks The upstream's clock is never compared with this host's: the age of the measurement is `now_ms` minus
+/// `measured_at_ms`, both on the upstream's clock, and is subtracted from the start of the call. The age is 0 if either
+/// field is missing.
 [[nodiscard]] std::optional<load_report> decodeLoad(const std::string &upstream, const std::string &body,
-                                                    instant askedAt);
+                                                    instant startedAt);
 
 } // namespace foxtaildyke
--- a/tests/test_status_client.cpp
+++ b/tests/test_status_client.cpp
@@ -1,5 +1,5 @@
-// Status client over a real gRPC server: a router that is down must give an error, and its answer must arrive on the
-// task that asked.
+// Status client with a real gRPC server: a router that is down must result in an error, and results must be delivered
+// on the thread of the event loop.
 #include "peer.grpc.pb.h"
 #include "status_client_p.h"
 
@@ -15,30 +15,30 @@
 class router_standin : public peer::Service
 {
 public:
-    grpc::Status Status(grpc::ServerContext *, const status_request *, status_reply *reply) override
+    grpc::Status Status(grpc::ServerContext *, const status_request *, status_reply *response) override
     {
-        reply->set_generation(7);
-        reply->set_may_dispatch(true);
-        reply->add_acknowledged_hosts("h1");
-        reply->add_registered_hosts("h1");
-        reply->add_registered_hosts("h2");
-        reply->add_halted_versions("v2");
+        response->set_generation(7);
+        response->set_may_dispatch(true);
+        response->add_acknowledged_hosts("h1");
+        response->add_registered_hosts("h1");
+        response->add_registered_hosts("h2");
+        response->add_halted_versions("v2");
         return grpc::Status::OK;
     }
 };
 
-result<host_status> askOnce(event_loop &loop, status_client &client)
+result<host_status> requestStatus(event_loop &loop, status_client &client)
 {
-    std::optional<result<host_status>> answer;
-    std::thread::id answeredOn;
+    std::optional<result<host_status>> response;
+    std::thread::id callbackThread;
     client.status([&](const result<host_status> &status) {
-        answer = status;
-        answeredOn = std::this_thread::get_id();
+        response = status;
+        callbackThread = std::this_thread::get_id();
         loop.stop();
     });
     loop.run();
-    CHECK(answeredOn == std::this_thread::get_id());
-    return answer.value();
+    CHECK(callbackThread == std::this_thread::get_id());
+    return response.value();
 }
 
 } // namespace
@@ -57,7 +57,7 @@
     REQUIRE(port != 0);
     event_loop loop;
     status_client client(loop, {"127.0.0.1", static_cast<std::uint16_t>(port)});
-    const auto first = askOnce(loop, client);
+    const auto first = requestStatus(loop, client);
     REQUIRE(first.has_value());
     CHECK(first.value().generation == 7);
     CHECK(first.value().acknowledged == std::vector<std::string>{"h1"});
@@ -65,12 +65,12 @@
     CHECK(first.value().halted == std::vector<std::string>{"v2"});
 
     server->Shutdown();
-    const auto down = askOnce(loop, client);
+    const auto down = requestStatus(loop, client);
     REQUIRE(down.has_error());
     server = start(port);
     bool isBack = false;
     for (int tries = 0; tries < 100 && !isBack; ++tries) {
-        isBack = askOnce(loop, client).has_value();
+        isBack = requestStatus(loop, client).has_value();
         if (!isBack)
             std::this_thread::sleep_for(std::chrono::milliseconds(50));
     }
@@ -78,7 +78,7 @@
     server->Shutdown();
 }
 
-TEST_CASE("a client that ends with an open call waits for it")
+TEST_CASE("a client destroyed with an open call reports an error for that call")
 {
     event_loop loop;
     bool hasFailed = false;
@@ -86,7 +86,7 @@
         status_client client(loop, {"127.0.0.1", 1});
         client.status([&](const result<host_status> &status) { hasFailed = status.has_error(); });
     }
-    // The answer was posted before the client was gone.
+    // The destructor has already posted the callback, so it runs before the loop stops.
     loop.post([&loop] { loop.stop(); });
     loop.run();
     CHECK(hasFailed);
