--- a/src/peer_client.cpp
+++ b/src/peer_client.cpp
@@ -1,4 +1,4 @@
-// gRPC clients of the protocol between routers; see peer_client_p.h.
+// gRPC client of the protocol between routers; see peer_client_p.h.
 #include "peer_client_p.h"
 
 #include "peer.grpc.pb.h"
@@ -14,11 +14,11 @@
 namespace
 {
 
-/// A host that comes back must be found again within an exchange period or two; gRPC's own default waits up to 2
+/// A restarted host must be reachable again within one or two exchange periods; gRPC's default backoff grows to 2
 /// minutes.
-constexpr int kFirstReconnectMs = 100;
-constexpr int kLongestReconnectMs = 500;
-constexpr std::chrono::seconds kCancelTime{2};
+constexpr int kMinReconnectBackoffMs = 100;
+constexpr int kMaxReconnectBackoffMs = 500;
+constexpr std::chrono::seconds kCancelTimeout{2};
 constexpr int kMaxMessageBytes = 2 << 20;
 
 std::string targetOf(const http_endpoint &to)
@@ -36,7 +36,7 @@
     case grpc::StatusCode::UNIMPLEMENTED:
         return {error_code::unavailable, "peer"};
     case grpc::StatusCode::UNAVAILABLE:
-        // Only a failed connection is known to have carried nothing; a broken one may have delivered the call.
+        // The call is known to be undelivered only if no connection was made; a lost connection may have delivered it.
         return {status.error_message().find("failed to connect") != std::string::npos ? error_code::unavailable
                                                                                       : error_code::io_failure,
                 "peer"};
@@ -45,11 +45,11 @@
     }
 }
 
-template <typename request_type, typename reply_type>
+template <typename request_type, typename response_type>
 struct open_call {
     grpc::ClientContext context;
     request_type request;
-    reply_type reply;
+    response_type response;
 };
 
 template <typename state_type>
@@ -68,23 +68,23 @@
 
     peer::Stub &stubOf(const http_endpoint &to);
 
-    template <typename request_type, typename reply_type>
-    using method = void (peer::Stub::async::*)(grpc::ClientContext *, const request_type *, reply_type *,
+    template <typename request_type, typename response_type>
+    using method = void (peer::Stub::async::*)(grpc::ClientContext *, const request_type *, response_type *,
                                                std::function<void(grpc::Status)>);
 
-    template <typename request_type, typename reply_type>
+    template <typename request_type, typename response_type>
     void start(const http_endpoint &to, request_type request, std::chrono::milliseconds timeout,
-               peer_done<reply_type> done, method<request_type, reply_type> call);
+               peer_done<response_type> done, method<request_type, response_type> call);
 
     void end(std::shared_ptr<grpc::ClientContext> context, std::function<void()> deliver);
 
     event_loop &loop;
     std::map<std::string, std::unique_ptr<peer::Stub>> stubs; ///< by target; on the event loop only
-    std::mutex lock; ///< guards the members below, which gRPC's threads use
-    std::condition_variable changed;
+    std::mutex lock; ///< guards the members below, which gRPC's threads access
+    std::condition_variable callEnded;
     std::set<std::shared_ptr<grpc::ClientContext>> open;
-    std::vector<std::function<void()>> undelivered; ///< results after the end; kept for the destructor to release
-    bool hasEnded = false;
+    std::vector<std::function<void()>> undelivered; ///< results that arrive after the stop; released by the destructor
+    bool isStopped = false;
 };
 
 peer::Stub &peer_client::implementation::stubOf(const http_endpoint &to)
@@ -92,11 +92,11 @@
     auto &stub = stubs[targetOf(to)];
     if (!stub) {
         grpc::ChannelArguments options;
-        options.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kFirstReconnectMs);
-        options.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kFirstReconnectMs);
-        options.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kLongestReconnectMs);
+        options.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+        options.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+        options.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxReconnectBackoffMs);
         options.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
-        // A call is repeated by its owner or not at all.
+        // Only the code that makes a call may retry it.
         options.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
         options.SetMaxReceiveMessageSize(kMaxMessageBytes);
         stub = peer::NewStub(grpc::CreateCustomChannel(targetOf(to), grpc::InsecureChannelCredentials(), options));
@@ -104,42 +104,43 @@
     return *stub;
 }
 
-template <typename request_type, typename reply_type>
+template <typename request_type, typename response_type>
 void peer_client::implementation::start(const http_endpoint &to, request_type request,
-                                        std::chrono::milliseconds timeout, peer_done<reply_type> done,
-                                        method<request_type, reply_type> call)
+                                        std::chrono::milliseconds timeout, peer_done<response_type> done,
+                                        method<request_type, response_type> call)
 {
-    auto state = std::make_shared<open_call<request_type, reply_type>>();
+    auto state = std::make_shared<open_call<request_type, response_type>>();
     state->request = std::move(request);
     state->context.set_deadline(std::chrono::system_clock::now() + timeout);
     {
         const std::lock_guard guard(lock);
         open.insert(contextOf(state));
     }
-    // A call's context holds its channel, and gRPC must not lose the last reference to a channel on its own thread: the
-    // callback gives its part of the state away.
+    // A call's context references its channel, and the last reference to a channel must not be released on a gRPC
+    // thread. The callback therefore moves its reference to the state over to the event loop.
     const auto holder = std::make_shared<decltype(state)>(state);
     const auto finish = [self = shared_from_this(), holder, done = std::move(done)](const grpc::Status &status) {
         auto ended = std::move(*holder);
         auto context = contextOf(ended);
         self->end(std::move(context), [ended = std::move(ended), done, status] {
-            done(status.ok() ? result<reply_type>(std::move(ended->reply)) : result<reply_type>(toError(status)));
+            done(status.ok() ? result<response_type>(std::move(ended->response))
+                             : result<response_type>(toError(status)));
         });
     };
-    (stubOf(to).async()->*call)(&state->context, &state->request, &state->reply, finish);
+    (stubOf(to).async()->*call)(&state->context, &state->request, &state->response, finish);
 }
 
 void peer_client::implementation::end(std::shared_ptr<grpc::ClientContext> context, std::function<void()> deliver)
 {
     const std::lock_guard guard(lock);
     open.erase(context);
-    context.reset(); // before the event loop can release the call's state
-    // The event loop may be gone once the client has ended.
-    if (hasEnded)
+    context.reset(); // must precede the release of the call's state on the event loop
+    // The event loop may already be destroyed once the client has stopped.
+    if (isStopped)
         undelivered.push_back(std::move(deliver));
     else
         loop.post(std::move(deliver));
-    changed.notify_all();
+    callEnded.notify_all();
 }
 
 peer_client::peer_client(event_loop &loop)
@@ -150,13 +151,13 @@
 peer_client::~peer_client()
 {
     std::unique_lock guard(m_impl->lock);
-    m_impl->hasEnded = true;
+    m_impl->isStopped = true;
     auto open = m_impl->open;
-    guard.unlock(); // cancelling may end a call on this thread
+    guard.unlock(); // TryCancel() may run a call's callback on this thread, which takes the lock
     for (const auto &context : open)
         context->TryCancel();
     guard.lock();
-    m_impl->changed.wait_for(guard, kCancelTime, [this] { return m_impl->open.empty(); });
+    m_impl->callEnded.wait_for(guard, kCancelTimeout, [this] { return m_impl->open.empty(); });
     const auto undelivered = std::exchange(m_impl->undelivered, {});
     const auto stubs = std::exchange(m_impl->stubs, {});
     guard.unlock();
--- a/src/peer_client_p.h
+++ b/src/peer_client_p.h
@@ -1,4 +1,4 @@
-// gRPC clients of the protocol between routers. Results come on the event loop.
+// gRPC client of the protocol between routers. Results are delivered on the event loop.
 #pragma once
 
 #include "event_loop_p.h"
@@ -8,22 +8,22 @@
 namespace foxtaildyke
 {
 
-/// Result of a call. Errors: unavailable (not delivered, or refused by the other process), timed_out and io_failure
-/// (may have been carried out).
-template <typename reply_type>
-using peer_done = std::function<void(result<reply_type>)>;
+/// Receives the result of a call. Errors: unavailable (the call was not delivered, or the peer doesn't implement it);
+/// timed_out and io_failure (the peer may have executed the call).
+template <typename response_type>
+using peer_done = std::function<void(result<response_type>)>;
 
 class peer_client
 {
 public:
     explicit peer_client(event_loop &loop);
 
-    /// Cancels open calls and waits for their end; their results are not delivered.
+    /// Cancels open calls and waits until they have ended; their results are not delivered.
     ~peer_client();
     peer_client(const peer_client &) = delete;
     peer_client &operator=(const peer_client &) = delete;
 
-    // Each call ends within its timeout.
+    // Every call ends within its timeout.
     void exchange(const http_endpoint &to, exchange_request request, std::chrono::milliseconds timeout,
                   peer_done<exchange_reply> done);
     void recover(const http_endpoint &to, recover_request request, std::chrono::milliseconds timeout,
--- a/src/peer_service.cpp
+++ b/src/peer_service.cpp
@@ -12,28 +12,28 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kShutdownTime{200};
+constexpr std::chrono::milliseconds kShutdownTimeout{200};
 
-/// The largest legal message is a whole configuration document (1 MB) and little else.
+/// The largest valid message contains a complete configuration document (1 MB) and little else.
 constexpr int kMaxMessageBytes = 2 << 20;
 
-/// Calls that wait for their answer. The only state that gRPC's threads and the event loop share: a call ends either by
-/// its answer or by the end of the service, whichever comes first.
+/// Calls without a response. This is the only state shared by gRPC's threads and the event loop. A call ends with its
+/// response or with the stop of the service, whichever comes first.
 class open_calls
 {
 public:
-    /// @returns the number of the call, or nothing where the service has ended.
+    /// @returns the number of the call, or nothing if the service has stopped.
     std::optional<std::uint64_t> add(grpc::ServerUnaryReactor *reactor)
     {
         const std::lock_guard guard(m_lock);
-        if (m_hasEnded)
+        if (m_isStopped)
             return std::nullopt;
-        m_reactors[++m_last] = reactor;
-        return m_last;
+        m_reactors[++m_lastCall] = reactor;
+        return m_lastCall;
     }
 
-    /// Ends a call, unless that has happened already.
-    /// @param fill writes the reply; the call's memory is valid until the call ends.
+    /// Ends a call; does nothing if it has already ended.
+    /// @param fill writes the response message, whose memory is valid until the call ends.
     void finish(std::uint64_t call, const grpc::Status &status, const std::function<void()> &fill)
     {
         const std::lock_guard guard(m_lock);
@@ -48,7 +48,7 @@
     void endAll()
     {
         const std::lock_guard guard(m_lock);
-        m_hasEnded = true;
+        m_isStopped = true;
         for (const auto &[call, reactor] : m_reactors)
             reactor->Finish({grpc::StatusCode::UNAVAILABLE, "shutting down"});
         m_reactors.clear();
@@ -57,8 +57,8 @@
 private:
     std::mutex m_lock;
     std::map<std::uint64_t, grpc::ServerUnaryReactor *> m_reactors;
-    std::uint64_t m_last = 0;
-    bool m_hasEnded = false;
+    std::uint64_t m_lastCall = 0;
+    bool m_isStopped = false;
 };
 
 class service final : public peer::CallbackService
@@ -71,37 +71,38 @@
     }
 
     grpc::ServerUnaryReactor *Exchange(grpc::CallbackServerContext *context, const exchange_request *request,
-                                       exchange_reply *reply) override
+                                       exchange_reply *response) override
     {
-        return hand(context, *request, reply, &peer_handlers::exchange);
+        return dispatch(context, *request, response, &peer_handlers::exchange);
     }
     grpc::ServerUnaryReactor *Recover(grpc::CallbackServerContext *context, const recover_request *request,
-                                      recover_reply *reply) override
+                                      recover_reply *response) override
     {
-        return hand(context, *request, reply, &peer_handlers::recover);
+        return dispatch(context, *request, response, &peer_handlers::recover);
     }
     grpc::ServerUnaryReactor *Append(grpc::CallbackServerContext *context, const append_request *request,
-                                     append_response *reply) override
+                                     append_response *response) override
     {
-        return hand(context, *request, reply, &peer_handlers::append);
+        return dispatch(context, *request, response, &peer_handlers::append);
     }
     grpc::ServerUnaryReactor *CopyBills(grpc::CallbackServerContext *context, const copy_bills_request *request,
-                                        copy_bills_reply *reply) override
+                                        copy_bills_reply *response) override
     {
-        return hand(context, *request, reply, &peer_handlers::copyBills);
+        return dispatch(context, *request, response, &peer_handlers::copyBills);
     }
     grpc::ServerUnaryReactor *Status(grpc::CallbackServerContext *context, const status_request *request,
-                                     status_reply *reply) override
+                                     status_reply *response) override
     {
-        return hand(context, *request, reply, &peer_handlers::status);
+        return dispatch(context, *request, response, &peer_handlers::status);
     }
 
     void endAll() { m_open->endAll(); }
 
 private:
-    template <typename request_type, typename reply_type>
-    grpc::ServerUnaryReactor *hand(grpc::CallbackServerContext *context, const request_type &request, reply_type *reply,
-                                   peer_handler<request_type, reply_type> peer_handlers::*member)
+    template <typename request_type, typename response_type>
+    grpc::ServerUnaryReactor *dispatch(grpc::CallbackServerContext *context, const request_type &request,
+                                       response_type *response,
+                                       peer_handler<request_type, response_type> peer_handlers::*member)
     {
         auto *reactor = context->DefaultReactor();
         if (!(*m_handlers.*member)) {
@@ -113,10 +114,10 @@
             reactor->Finish({grpc::StatusCode::UNAVAILABLE, "shutting down"});
             return reactor;
         }
-        const auto answer = [open = m_open, number = *call, reply](reply_type value) {
-            open->finish(number, grpc::Status::OK, [&] { *reply = std::move(value); });
+        const auto respond = [open = m_open, number = *call, response](response_type value) {
+            open->finish(number, grpc::Status::OK, [&] { *response = std::move(value); });
         };
-        m_loop.post([handlers = m_handlers, member, copy = request, answer] { ((*handlers).*member)(copy, answer); });
+        m_loop.post([handlers = m_handlers, member, copy = request, respond] { ((*handlers).*member)(copy, respond); });
         return reactor;
     }
 
@@ -145,7 +146,7 @@
 {
     m_impl->calls.endAll();
     if (m_impl->server)
-        m_impl->server->Shutdown(std::chrono::system_clock::now() + kShutdownTime);
+        m_impl->server->Shutdown(std::chrono::system_clock::now() + kShutdownTimeout);
 }
 
 result<std::uint16_t> peer_service::listen(const http_endpoint &address)
@@ -154,7 +155,7 @@
     const auto host = isV6 ? '[' + address.address + ']' : address.address;
     int port = 0;
     grpc::ServerBuilder builder;
-    // Two processes on one port would take each other's calls.
+    // With port reuse a second process could bind the same port and receive this process's calls.
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.SetMaxReceiveMessageSize(kMaxMessageBytes);
     builder.AddListeningPort(host + ':' + std::to_string(address.port), grpc::InsecureServerCredentials(), &port);
--- a/src/peer_service_p.h
+++ b/src/peer_service_p.h
@@ -1,5 +1,5 @@
-// gRPC server of the protocol between routers. Calls are handled on the router's event loop; gRPC's threads only hand
-// messages over. This header and peer_client_p.h keep gRPC's own headers out of the other files.
+// gRPC server of the protocol between routers. Calls are handled on the router's event loop; gRPC's threads only pass
+// messages to it. This header and peer_client_p.h keep gRPC's own headers out of the other files.
 #pragma once
 
 #include "event_loop_p.h"
@@ -9,15 +9,15 @@
 namespace foxtaildyke
 {
 
-/// Answers one call; to be called once, on the event loop, at any time.
-template <typename reply_type>
-using peer_responder = std::function<void(reply_type)>;
+/// Sends the response of one call. Must be called once, on the event loop, at any time.
+template <typename response_type>
+using peer_reply = std::function<void(response_type)>;
 
 /// Handles a call on the event loop.
-template <typename request_type, typename reply_type>
-using peer_handler = std::function<void(const request_type &, peer_responder<reply_type>)>;
+template <typename request_type, typename response_type>
+using peer_handler = std::function<void(const request_type &, peer_reply<response_type>)>;
 
-/// A call whose handler is not set is answered as unimplemented.
+/// Calls without a handler fail with the gRPC status UNIMPLEMENTED.
 struct peer_handlers {
     peer_handler<exchange_request, exchange_reply> exchange;
     peer_handler<recover_request, recover_reply> recover;
@@ -31,12 +31,12 @@
 public:
     peer_service(event_loop &loop, peer_handlers handlers);
 
-    /// Ends all open calls.
+    /// Ends all open calls with the gRPC status UNAVAILABLE.
     ~peer_service();
     peer_service(const peer_service &) = delete;
     peer_service &operator=(const peer_service &) = delete;
 
-    /// Binds the address. @returns the port.
+    /// Binds the address. @returns the bound port.
     [[nodiscard]] result<std::uint16_t> listen(const http_endpoint &address);
 
 private:
--- a/src/peer_wire.cpp
+++ b/src/peer_wire.cpp
@@ -44,7 +44,7 @@
     return {{wire.kind(), wire.version()}, {wire.passed(), wire.failed(), wire.dispatched(), wire.settled()}};
 }
 
-void writeVouches(const acknowledgement_set &group, exchange_request &wire)
+void writeAcknowledgements(const acknowledgement_set &group, exchange_request &wire)
 {
     auto bytes = packBits(group.members);
     const auto first = std::min(bytes.find_first_not_of('\0'), bytes.size());
@@ -55,30 +55,30 @@
 }
 
 template <typename message>
-void writeShared(const shared_updates &news, message &wire)
+void writeShared(const shared_updates &updates, message &wire)
 {
-    for (const auto &tally : news.tallies) {
+    for (const auto &tally : updates.tallies) {
         auto &target = *wire.add_tallies();
         target.set_root(tally.root);
         for (const auto &count : tally.counts)
             writeCount(count, *target.add_counts());
     }
-    wire.mutable_halted_versions()->Add(news.haltedVersions.begin(), news.haltedVersions.end());
-    wire.mutable_quarantined()->Add(news.quarantined.begin(), news.quarantined.end());
+    wire.mutable_halted_versions()->Add(updates.haltedVersions.begin(), updates.haltedVersions.end());
+    wire.mutable_quarantined()->Add(updates.quarantined.begin(), updates.quarantined.end());
 }
 
 template <typename message>
 shared_updates readShared(const message &wire)
 {
-    shared_updates news;
+    shared_updates updates;
     for (const auto &tally : wire.tallies()) {
-        news.tallies.push_back({tally.root(), {}});
+        updates.tallies.push_back({tally.root(), {}});
         for (const auto &count : tally.counts())
-            news.tallies.back().counts.push_back(readCount(count));
+            updates.tallies.back().counts.push_back(readCount(count));
     }
-    news.haltedVersions.assign(wire.halted_versions().begin(), wire.halted_versions().end());
-    news.quarantined.assign(wire.quarantined().begin(), wire.quarantined().end());
-    return news;
+    updates.haltedVersions.assign(wire.halted_versions().begin(), wire.halted_versions().end());
+    updates.quarantined.assign(wire.quarantined().begin(), wire.quarantined().end());
+    return updates;
 }
 
 template <typename message>
@@ -122,7 +122,7 @@
     wire.set_generation(call.generation);
     wire.set_echoed_clock_us(static_cast<std::uint64_t>(call.echoedClock.count()));
     for (const auto &group : call.acknowledgements)
-        writeVouches(group, wire);
+        writeAcknowledgements(group, wire);
     wire.set_delta_sequence(call.deltaSequence);
     for (const auto &count : call.delta)
         writeCount(count, *wire.add_delta());
@@ -153,42 +153,42 @@
     return call;
 }
 
-exchange_reply toWire(const exchange_response &answer)
+exchange_reply toWire(const exchange_response &response)
 {
     exchange_reply wire;
-    wire.set_generation(answer.generation);
-    wire.set_clock_us(static_cast<std::uint64_t>(answer.clock.count()));
-    wire.set_held_us(static_cast<std::uint64_t>(answer.waitTime.count()));
-    if (answer.stampAge)
-        wire.set_stamp_age_us(static_cast<std::uint64_t>(std::max(answer.stampAge->count(), instant::rep{0})));
-    writeConfig(answer.config, wire);
-    wire.set_taken_delta_sequence(answer.appliedDeltaSequence);
-    writeShared(answer.shared, wire);
-    writeDemand(answer.demandTotals, *wire.mutable_demand_totals());
-    if (answer.acknowledged)
-        wire.set_acknowledged(packBits(*answer.acknowledged));
-    wire.set_news(answer.lastUpdate);
-    wire.set_unknown_child(answer.isUnknownChild);
+    wire.set_generation(response.generation);
+    wire.set_clock_us(static_cast<std::uint64_t>(response.clock.count()));
+    wire.set_held_us(static_cast<std::uint64_t>(response.waitTime.count()));
+    if (response.stampAge)
+        wire.set_stamp_age_us(static_cast<std::uint64_t>(std::max(response.stampAge->count(), instant::rep{0})));
+    writeConfig(response.config, wire);
+    wire.set_taken_delta_sequence(response.appliedDeltaSequence);
+    writeShared(response.shared, wire);
+    writeDemand(response.demandTotals, *wire.mutable_demand_totals());
+    if (response.acknowledged)
+        wire.set_acknowledged(packBits(*response.acknowledged));
+    wire.set_news(response.lastUpdate);
+    wire.set_unknown_child(response.isUnknownChild);
     return wire;
 }
 
 exchange_response fromWire(const exchange_reply &wire)
 {
-    exchange_response answer;
-    answer.generation = wire.generation();
-    answer.clock = instant(wire.clock_us());
-    answer.waitTime = instant(wire.held_us());
+    exchange_response response;
+    response.generation = wire.generation();
+    response.clock = instant(wire.clock_us());
+    response.waitTime = instant(wire.held_us());
     if (wire.has_stamp_age_us())
-        answer.stampAge = instant(wire.stamp_age_us());
-    answer.config = readConfig(wire);
-    answer.appliedDeltaSequence = wire.taken_delta_sequence();
-    answer.shared = readShared(wire);
-    answer.demandTotals = readDemand(wire.demand_totals());
+        response.stampAge = instant(wire.stamp_age_us());
+    response.config = readConfig(wire);
+    response.appliedDeltaSequence = wire.taken_delta_sequence();
+    response.shared = readShared(wire);
+    response.demandTotals = readDemand(wire.demand_totals());
     if (wire.has_acknowledged())
-        answer.acknowledged = unpackBits(wire.acknowledged());
-    answer.lastUpdate = wire.news();
-    answer.isUnknownChild = wire.unknown_child();
-    return answer;
+        response.acknowledged = unpackBits(wire.acknowledged());
+    response.lastUpdate = wire.news();
+    response.isUnknownChild = wire.unknown_child();
+    return response;
 }
 
 } // namespace foxtaildyke
--- a/src/peer_wire_p.h
+++ b/src/peer_wire_p.h
@@ -1,4 +1,4 @@
-// Conversion between the relay's messages and the wire format of proto/peer.proto. Knows protobuf, not gRPC.
+// Conversion between the relay's messages and the wire format of proto/peer.proto. Depends on protobuf, not on gRPC.
 #pragma once
 
 #include "peer.pb.h"
@@ -9,7 +9,7 @@
 
 [[nodiscard]] exchange_request toWire(const exchange_call &call);
 [[nodiscard]] exchange_call fromWire(const exchange_request &wire);
-[[nodiscard]] exchange_reply toWire(const exchange_response &answer);
+[[nodiscard]] exchange_reply toWire(const exchange_response &response);
 [[nodiscard]] exchange_response fromWire(const exchange_reply &wire);
 
 } // namespace foxtaildyke
