--- a/src/relay_ledger.cpp
+++ b/src/relay_ledger.cpp
@@ -1,4 +1,4 @@
-// Ledger port over the ledger service and the peer protocol; see relay_ledger_p.h.
+// Ledger port on the ledger service and the peer protocol; see relay_ledger_p.h.
 #include "relay_ledger_p.h"
 
 namespace foxtaildyke
@@ -7,9 +7,9 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kAppendTimeout{5000}; ///< covers loading a segment from a slow store
+constexpr std::chrono::milliseconds kAppendTimeout{5000}; ///< allows for loading a segment from a slow store
 constexpr std::chrono::milliseconds kCopyTimeout{500};
-constexpr std::chrono::milliseconds kIdlePeriod{100}; ///< between ticks while nothing is due
+constexpr std::chrono::milliseconds kIdlePeriod{100}; ///< maximum time between ticks
 
 std::int64_t unixSeconds()
 {
@@ -17,36 +17,36 @@
     return std::chrono::duration_cast<std::chrono::seconds>(time).count();
 }
 
-append_response encodeReplies(const result<std::vector<append_outcome>> &replies)
+append_response encodeResponse(const result<std::vector<append_reply>> &results)
 {
-    // A failure is an answer without outcomes; the caller then reads the log.
+    // A failure is encoded as a response without outcomes; the host that sent the records then reads the log.
     append_response response;
-    if (replies.has_error())
+    if (results.has_error())
         return response;
-    for (const auto &reply : replies.value()) {
+    for (const auto &entry : results.value()) {
         auto *outcome = response.add_outcomes();
-        outcome->set_status(static_cast<std::uint32_t>(reply.status));
-        outcome->set_answer(reply.response);
-        for (const auto &pin : reply.pins)
+        outcome->set_status(static_cast<std::uint32_t>(entry.status));
+        outcome->set_answer(entry.answer);
+        for (const auto &pin : entry.pins)
             outcome->add_pins(pin);
     }
     return response;
 }
 
-result<std::vector<append_outcome>> decodeReplies(const append_response &response)
+result<std::vector<append_reply>> decodeResponse(const append_response &response)
 {
     const error failure{error_code::protocol_violation, "append"};
     if (response.outcomes().empty())
         return failure;
-    std::vector<append_outcome> replies;
+    std::vector<append_reply> results;
     for (const auto &outcome : response.outcomes()) {
         if (outcome.status() >= static_cast<std::uint32_t>(ledger_status::count))
             return failure;
-        replies.push_back({static_cast<ledger_status>(outcome.status()),
+        results.push_back({static_cast<ledger_status>(outcome.status()),
                            outcome.answer(),
                            {outcome.pins().begin(), outcome.pins().end()}});
     }
-    return replies;
+    return results;
 }
 
 } // namespace
@@ -65,69 +65,70 @@
 relay_task::ledger_handlers relay_ledger::makeHandlers()
 {
     return {.append =
-                [this](const append_request &request, const peer_responder<append_response> &reply) {
-                    m_service.serveAppend(
-                        request.segment(), request.batch(),
-                        [reply](const result<std::vector<append_outcome>> &replies) { reply(encodeReplies(replies)); });
+                [this](const append_request &request, const peer_reply<append_response> &respond) {
+                    m_service.serveAppend(request.segment(), request.batch(),
+                                          [respond](const result<std::vector<append_reply>> &results) {
+                                              respond(encodeResponse(results));
+                                          });
                     schedule();
                 },
             .copyBills =
-                [this](const copy_bills_request &request, const peer_responder<copy_bills_reply> &reply) {
+                [this](const copy_bills_request &request, const peer_reply<copy_bills_reply> &respond) {
                     const std::vector<std::string> release(request.release().begin(), request.release().end());
-                    copy_bills_reply answer;
-                    answer.set_kept(m_service.serveCopies(request.host(), request.batch(), release));
-                    reply(answer);
+                    copy_bills_reply response;
+                    response.set_kept(m_service.serveCopies(request.host(), request.batch(), release));
+                    respond(response);
                     schedule();
                 }};
 }
 
-append_done relay_ledger::replyTo(request_token request, ledger_step step)
+append_done relay_ledger::makeResponseHandler(request_token request, ledger_step step)
 {
-    ++m_open;
-    return [this, request, step](append_outcome reply) {
-        --m_open;
+    ++m_openRecords;
+    return [this, request, step](append_reply response) {
+        --m_openRecords;
         m_deliver(ledger_response{.request = request,
                                   .step = step,
-                                  .status = reply.status,
-                                  .answer = std::move(reply.response),
-                                  .pins = std::move(reply.pins)});
+                                  .status = response.status,
+                                  .answer = std::move(response.answer),
+                                  .pins = std::move(response.pins)});
     };
 }
 
 void relay_ledger::claim(const write_claim &record)
 {
-    m_service.claim(record, replyTo(record.request, ledger_step::claim));
+    m_service.claim(record, makeResponseHandler(record.request, ledger_step::claim));
     schedule();
 }
 
 void relay_ledger::pin(const write_pin &record)
 {
-    m_service.pin(record, replyTo(record.request, ledger_step::pin));
+    m_service.pin(record, makeResponseHandler(record.request, ledger_step::pin));
     schedule();
 }
 
 void relay_ledger::bill(const write_bill &record)
 {
-    m_service.bill(record, replyTo(record.request, ledger_step::bill));
+    m_service.bill(record, makeResponseHandler(record.request, ledger_step::bill));
     schedule();
 }
 
 bool relay_ledger::isIdle() const
 {
-    return m_open == 0 && m_service.uncopiedBills() == 0;
+    return m_openRecords == 0 && m_service.unsecuredBills() == 0;
 }
 
 void relay_ledger::onConfig(const fleet_ptr &config)
 {
     m_config = config;
     m_service.configure(config);
-    updateGone();
+    updateNotLiveHosts();
 }
 
 void relay_ledger::onEntryHosts(const std::vector<listed_host> &hosts)
 {
-    m_listed = hosts;
-    updateGone();
+    m_listedHosts = hosts;
+    updateNotLiveHosts();
 }
 
 void relay_ledger::onDrain()
@@ -136,19 +137,19 @@
     schedule();
 }
 
-void relay_ledger::updateGone()
+void relay_ledger::updateNotLiveHosts()
 {
-    // A list without entry hosts says nothing about them.
-    if (!m_config || m_listed.empty())
+    // A host list without any entry host is not evidence that they are down.
+    if (!m_config || m_listedHosts.empty())
         return;
-    std::set<std::string> gone;
+    std::set<std::string> notLive;
     for (const auto &host : m_config->hosts) {
         const auto listed = std::ranges::find(
-            m_listed, host.name, [](const listed_host &entry) -> const std::string & { return entry.info.name; });
-        if (listed == m_listed.end() || listed->info.state != host_state::live)
-            gone.insert(host.name);
+            m_listedHosts, host.name, [](const listed_host &entry) -> const std::string & { return entry.info.name; });
+        if (listed == m_listedHosts.end() || listed->info.state != host_state::live)
+            notLive.insert(host.name);
     }
-    m_service.setGone(std::move(gone));
+    m_service.setGone(std::move(notLive));
 }
 
 void relay_ledger::append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done)
@@ -164,7 +165,7 @@
                                 if (response.has_error())
                                     done(response.error());
                                 else
-                                    done(decodeReplies(response.value()));
+                                    done(decodeResponse(response.value()));
                                 schedule();
                             });
 }
@@ -181,11 +182,11 @@
     for (auto &writer : release)
         request.add_release(std::move(writer));
     m_relay->peers().copyBills(*endpoint, std::move(request), kCopyTimeout,
-                               [this, done = std::move(done)](const result<copy_bills_reply> &reply) {
-                                   if (reply.has_error())
-                                       done(reply.error());
+                               [this, done = std::move(done)](const result<copy_bills_reply> &response) {
+                                   if (response.has_error())
+                                       done(response.error());
                                    else
-                                       done(reply.value().kept());
+                                       done(response.value().kept());
                                    schedule();
                                });
 }
--- a/src/relay_ledger_p.h
+++ b/src/relay_ledger_p.h
@@ -1,5 +1,5 @@
-// Ledger port of the router over the ledger service: records go to segment owners through the peer protocol, and
-// batches to the object API.
+// Implements the router's ledger port with the ledger service: sends records to segment owners over the peer protocol
+// and writes batches to the object store.
 #pragma once
 
 #include "ledger_service_p.h"
@@ -11,7 +11,7 @@
 class relay_ledger : public ledger_port, private ledger_peers
 {
 public:
-    /// @param run unique for this run of the process.
+    /// @param run unique identifier of this process instance.
     relay_ledger(event_loop &loop, object_store &store, std::shared_ptr<relay_task> relay, const std::string &host,
                  const std::string &run, core_sink deliver);
 
@@ -29,8 +29,8 @@
     void copyBills(const std::string &host, std::string batch, std::vector<std::string> release,
                    copy_done done) override;
     [[nodiscard]] relay_task::ledger_handlers makeHandlers();
-    [[nodiscard]] append_done replyTo(request_token request, ledger_step step);
-    void updateGone();
+    [[nodiscard]] append_done makeResponseHandler(request_token request, ledger_step step);
+    void updateNotLiveHosts();
     void drive();
     void schedule();
 
@@ -39,8 +39,8 @@
     ledger_service m_service;
     loop_timer m_timer;
     fleet_ptr m_config;
-    std::vector<listed_host> m_listed; ///< entry hosts on the platform's host list
-    std::size_t m_open = 0; ///< records without a reply
+    std::vector<listed_host> m_listedHosts; ///< entry hosts in the platform's host list
+    std::size_t m_openRecords = 0; ///< records without a response
 };
 
 } // namespace foxtaildyke
--- a/src/relay_task.cpp
+++ b/src/relay_task.cpp
@@ -10,17 +10,19 @@
 {
 
 constexpr std::chrono::milliseconds kRootReadPeriod{250};
-constexpr std::chrono::milliseconds kLeastSamplePeriod{1000};
+constexpr std::chrono::milliseconds kMinSamplePeriod{1000};
 
-/// A host whose parent brings no fresh stamp reads the store as well; 350 such hosts must not exceed its rate.
-constexpr std::chrono::milliseconds kStarvingReadPeriod{1000};
+/// Period of store reads by a host whose parent provides no fresh stamp; 350 such hosts must stay within the
+/// request rate of the store.
+constexpr std::chrono::milliseconds kNoStampReadPeriod{1000};
 
 constexpr std::chrono::milliseconds kRecoverPeriod{1000};
 constexpr std::chrono::milliseconds kRecoverTimeout{1000};
 
-/// The relay's own timers are never closer; the longest bounds how late a waiting Status call is answered.
-constexpr std::chrono::milliseconds kShortestWait{1};
-constexpr std::chrono::milliseconds kLongestWait{50};
+/// Bounds of the time between runs. The relay's own timers are never closer than the minimum; the maximum limits the
+/// delay of the response to a pending Status call.
+constexpr std::chrono::milliseconds kMinWait{1};
+constexpr std::chrono::milliseconds kMaxWait{50};
 
 tally_id randomTally()
 {
@@ -31,15 +33,15 @@
 } // namespace
 
 relay_task::relay_task(event_loop &loop, object_store &store, const process_settings &settings, core_sink deliver,
-                       event_sink note)
+                       note_event onEvent)
     : m_loop(loop)
     , m_store(store)
     , m_settings(settings)
     , m_deliver(std::move(deliver))
-    , m_note(std::move(note))
+    , m_onEvent(std::move(onEvent))
     , m_config(settings.failureDomain)
-    , m_fresh(settings.host, event_loop::now())
-    , m_relay(settings.host, randomTally(), m_fresh,
+    , m_freshness(settings.host, event_loop::now())
+    , m_relay(settings.host, randomTally(), m_freshness,
               {[this](const config_content &content) { adopt(content, "peer"); },
                [this](generation_number generation) {
                    return m_config.contentAfter(generation);
@@ -63,7 +65,7 @@
         m_service = std::make_unique<peer_service>(m_loop, makeHandlers());
         const auto port = m_service->listen(m_settings.peerListen);
         if (port.has_error())
-            m_note("peer_listen_failed", port.error().field, 0);
+            m_onEvent("peer_listen_failed", port.error().field, 0);
         else
             m_peerPort = port.value();
     }
@@ -72,35 +74,35 @@
 
 void relay_task::drive()
 {
-    // Inputs of the core may come back as shares while this function runs.
+    // Inputs delivered to the core may call share() while this function runs.
     if (std::exchange(m_isDriving, true))
         return;
     const auto now = event_loop::now();
     readStore(now);
-    askToRecover(now);
+    requestRecovery(now);
     measureDemand(now);
     m_relay.tick(now);
     for (auto &action : m_relay.takeActions())
-        carryOut(action);
+        execute(action);
     publishLease();
     publishShared();
     publishShares();
-    answerStatus(now);
+    respondToStatusCalls(now);
     m_isDriving = false;
     const auto wait = std::chrono::duration_cast<std::chrono::microseconds>(m_relay.nextTimer() - now);
-    m_timer.start(std::clamp<std::chrono::microseconds>(wait, kShortestWait, kLongestWait));
+    m_timer.start(std::clamp<std::chrono::microseconds>(wait, kMinWait, kMaxWait));
 }
 
-void relay_task::carryOut(relay_action &action)
+void relay_task::execute(relay_action &action)
 {
     if (auto *call = std::get_if<start_exchange>(&action))
-        return carryOut(*call);
-    const auto &answer = std::get<respond_to_exchange>(action);
-    if (auto waiting = m_answers.extract(answer.call))
-        waiting.mapped()(toWire(answer.response));
+        return execute(*call);
+    const auto &respond = std::get<respond_to_exchange>(action);
+    if (auto pending = m_pendingExchanges.extract(respond.call))
+        pending.mapped()(toWire(respond.response));
 }
 
-void relay_task::carryOut(start_exchange &action)
+void relay_task::execute(start_exchange &action)
 {
     const auto token = action.call;
     const auto to = endpointOf(action.host);
@@ -108,17 +110,17 @@
         m_relay.handleResponse(token, error{error_code::not_found, action.host}, event_loop::now());
         return;
     }
-    m_peers.exchange(*to, toWire(action.request), action.timeout, [this, token](const result<exchange_reply> &reply) {
-        const auto answer = reply.has_error() ? result<exchange_response>(reply.error())
-                                              : result<exchange_response>(fromWire(reply.value()));
-        m_relay.handleResponse(token, answer, event_loop::now());
+    m_peers.exchange(*to, toWire(action.request), action.timeout, [this, token](const result<exchange_reply> &wire) {
+        const auto response = wire.has_error() ? result<exchange_response>(wire.error())
+                                               : result<exchange_response>(fromWire(wire.value()));
+        m_relay.handleResponse(token, response, event_loop::now());
         drive();
     });
 }
 
 std::optional<http_endpoint> relay_task::endpointOf(const std::string &host) const
 {
-    // A seed is the way to that host from this host's network, so it goes before the registered address.
+    // A seed address is reachable from this host's network, so it takes precedence over the registered address.
     const auto seed = std::ranges::find(m_settings.seeds, host, &seed_host::name);
     if (seed != m_settings.seeds.end())
         return seed->peer;
@@ -131,21 +133,21 @@
     return http_endpoint{entry.address, entry.peerPort};
 }
 
-/// Every host reads the store now and then, so that a change also gets into the tree while the root's own way to the
-/// store is cut. The period grows with the number of hosts, so that the store sees the same rate for any fleet.
+/// Every host reads the store occasionally, so that a change enters the tree even if the root can't reach the store.
+/// The period grows with the number of hosts, so that the total read rate doesn't depend on the fleet size.
 std::chrono::milliseconds relay_task::samplePeriod() const
 {
     const auto hosts = m_config.base() ? m_config.base()->hosts.size() : 1;
-    return std::max(kLeastSamplePeriod, static_cast<std::int64_t>(hosts) * kRootReadPeriod);
+    return std::max(kMinSamplePeriod, static_cast<std::int64_t>(hosts) * kRootReadPeriod);
 }
 
 void relay_task::readStore(instant now)
 {
     const bool isRoot = m_relay.isRoot();
-    const bool isNeeded = isRoot || m_fresh.isRecovering() || m_relay.lacksFreshStamp(now);
+    const bool isNeeded = isRoot || m_freshness.isRecovering() || m_relay.lacksFreshStamp(now);
     if (m_isReading || now < m_nextRead || !(isNeeded || now >= m_nextSample))
         return;
-    m_nextRead = now + (isRoot ? kRootReadPeriod : kStarvingReadPeriod);
+    m_nextRead = now + (isRoot ? kRootReadPeriod : kNoStampReadPeriod);
     m_nextSample = now + samplePeriod();
     m_isReading = true;
     m_store.read("config/current", [this, now](const result<stored_object> &object) {
@@ -155,49 +157,49 @@
     });
 }
 
-void relay_task::onRead(instant begun, const result<stored_object> &object)
+void relay_task::onRead(instant startedAt, const result<stored_object> &object)
 {
     if (object.has_error())
         return;
     const auto document = decodeConfig(object.value().body);
     if (document.has_error())
-        return noteRejected(document.error().field);
+        return reportRejected(document.error().field);
     const auto generation = document.value().generation;
-    // The stamp first, so that the children get it together with the generation.
-    m_fresh.stamp({generation, begun});
-    if (generation > m_fresh.generation())
+    // The stamp must precede the adoption, so that children receive it together with the generation.
+    m_freshness.stamp({generation, startedAt});
+    if (generation > m_freshness.generation())
         adopt({{}, object.value().body}, "store read");
-    m_fresh.recordStoreRead(generation, begun);
+    m_freshness.recordStoreRead(generation, startedAt);
 }
 
 void relay_task::adopt(const config_content &content, const char *source)
 {
-    const auto taken = m_config.take(content);
-    if (taken.has_error())
-        return noteRejected(taken.error().field);
-    if (!taken.value())
+    const auto adopted = m_config.take(content);
+    if (adopted.has_error())
+        return reportRejected(adopted.error().field);
+    if (!adopted.value())
         return;
     m_rejectedField.clear();
     const auto &base = *m_config.base();
     std::vector<std::string> names;
     std::ranges::transform(base.hosts, std::back_inserter(names), &host_config::name);
     const auto lease = std::min(base.tune.freshnessLease, m_config.view()->tune.freshnessLease);
-    m_fresh.adopt(base.generation, names, lease);
+    m_freshness.adopt(base.generation, names, lease);
     m_relay.setMembers({std::move(names), base.tune.exchangePeriod, base.tune.quarantineLifetime}, event_loop::now());
-    m_note("config_adopted", source, base.generation);
+    m_onEvent("config_adopted", source, base.generation);
     m_deliver(config_changed{m_config.view()});
 }
 
-void relay_task::noteRejected(const std::string &field)
+void relay_task::reportRejected(const std::string &field)
 {
-    // The store is read several times a second; one event for each fault is enough.
+    // The store is read several times a second; each fault is reported only once.
     if (std::exchange(m_rejectedField, field) != field)
-        m_note("config_rejected", field, m_config.generation());
+        m_onEvent("config_rejected", field, m_config.generation());
 }
 
-void relay_task::askToRecover(instant now)
+void relay_task::requestRecovery(instant now)
 {
-    if (!m_fresh.isRecovering() || now < m_nextRecover)
+    if (!m_freshness.isRecovering() || now < m_nextRecover)
         return;
     m_nextRecover = now + kRecoverPeriod;
     std::map<std::string, http_endpoint> hosts;
@@ -211,90 +213,91 @@
     request.set_host(m_settings.host);
     request.set_generation(m_config.generation());
     for (const auto &[host, endpoint] : hosts)
-        m_peers.recover(
-            endpoint, request, kRecoverTimeout,
-            [this, name = host, now](const result<recover_reply> &answer) { onRecovered(name, now, answer); });
+        m_peers.recover(endpoint, request, kRecoverTimeout,
+                        [this, name = host, now](const result<recover_reply> &response) {
+                            onRecoverResponse(name, now, response);
+                        });
 }
 
-void relay_task::onRecovered(const std::string &host, instant askedAt, const result<recover_reply> &answer)
+void relay_task::onRecoverResponse(const std::string &host, instant startedAt, const result<recover_reply> &response)
 {
-    // A seed may stand for another host than its name says.
-    if (answer.has_error() || (!answer.value().host().empty() && answer.value().host() != host))
+    // The address of a seed may belong to a host of another name.
+    if (response.has_error() || (!response.value().host().empty() && response.value().host() != host))
         return;
-    const auto &reply = answer.value();
-    if (!reply.document().empty())
-        adopt({{}, reply.document()}, "recovery");
-    const bool wasRecovering = m_fresh.isRecovering();
-    if (m_fresh.recordRecoverResponse(host, reply.recovering(), reply.generation(), askedAt) && wasRecovering)
-        m_note("recovered", "answers of a majority", m_fresh.generation());
+    const auto &status = response.value();
+    if (!status.document().empty())
+        adopt({{}, status.document()}, "recovery");
+    const bool wasRecovering = m_freshness.isRecovering();
+    if (m_freshness.recordRecoverResponse(host, status.recovering(), status.generation(), startedAt) && wasRecovering)
+        m_onEvent("recovered", "responses of a majority", m_freshness.generation());
     drive();
 }
 
-recover_reply relay_task::answerRecover(const recover_request &request) const
+recover_reply relay_task::makeRecoverResponse(const recover_request &request) const
 {
-    recover_reply reply;
-    reply.set_host(m_settings.host);
-    reply.set_recovering(m_fresh.isRecovering());
-    reply.set_generation(m_fresh.generation());
+    recover_reply response;
+    response.set_host(m_settings.host);
+    response.set_recovering(m_freshness.isRecovering());
+    response.set_generation(m_freshness.generation());
     if (request.generation() < m_config.generation())
-        reply.set_document(m_config.contentAfter(0).document);
-    return reply;
+        response.set_document(m_config.contentAfter(0).document);
+    return response;
 }
 
 peer_handlers relay_task::makeHandlers()
 {
     peer_handlers handlers;
-    handlers.exchange = [this](const exchange_request &request, peer_responder<exchange_reply> reply) {
-        const response_token token{++m_lastAnswer};
-        m_answers[token] = std::move(reply);
+    handlers.exchange = [this](const exchange_request &request, peer_reply<exchange_reply> respond) {
+        const response_token token{++m_lastResponse};
+        m_pendingExchanges[token] = std::move(respond);
         m_relay.handleCall(token, fromWire(request), event_loop::now());
         drive();
     };
-    handlers.recover = [this](const recover_request &request, const peer_responder<recover_reply> &reply) {
-        reply(answerRecover(request));
+    handlers.recover = [this](const recover_request &request, const peer_reply<recover_reply> &respond) {
+        respond(makeRecoverResponse(request));
     };
-    handlers.status = [this](const status_request &request, peer_responder<status_reply> reply) {
+    handlers.status = [this](const status_request &request, peer_reply<status_reply> respond) {
         const auto until = event_loop::now() + std::chrono::milliseconds(request.wait_ms());
-        m_waitingStatus.push_back({request.generation(), until, std::move(reply)});
-        answerStatus(event_loop::now());
+        m_pendingStatusCalls.push_back({request.generation(), until, std::move(respond)});
+        respondToStatusCalls(event_loop::now());
     };
     handlers.append = m_ledger.append;
     handlers.copyBills = m_ledger.copyBills;
     return handlers;
 }
 
-void relay_task::answerStatus(instant now)
+void relay_task::respondToStatusCalls(instant now)
 {
     const auto hosts = m_config.base() ? m_config.base()->hosts.size() : 0;
-    const bool isEverywhere = hosts != 0 && m_relay.acknowledgedCount() == hosts;
-    std::erase_if(m_waitingStatus, [&](const waiting_status &waiting) {
-        const bool isAcknowledged = isEverywhere && m_fresh.generation() >= waiting.generation;
-        if (!isAcknowledged && now < waiting.until)
+    const bool isAcknowledgedByAll = hosts != 0 && m_relay.acknowledgedCount() == hosts;
+    std::erase_if(m_pendingStatusCalls, [&](const pending_status_call &pending) {
+        const bool isAcknowledged = isAcknowledgedByAll && m_freshness.generation() >= pending.generation;
+        if (!isAcknowledged && now < pending.until)
             return false;
-        waiting.reply(makeStatus(now));
+        pending.respond(makeStatus(now));
         return true;
     });
 }
 
 status_reply relay_task::makeStatus(instant now) const
 {
-    status_reply reply;
-    reply.set_host(m_settings.host);
-    reply.set_generation(m_fresh.generation());
-    reply.set_recovering(m_fresh.isRecovering());
-    reply.set_may_dispatch(m_fresh.mayDispatch(now));
+    status_reply response;
+    response.set_host(m_settings.host);
+    response.set_generation(m_freshness.generation());
+    response.set_recovering(m_freshness.isRecovering());
+    response.set_may_dispatch(m_freshness.mayDispatch(now));
     for (const auto &name : m_relay.acknowledgedHosts())
-        reply.add_acknowledged_hosts(name);
+        response.add_acknowledged_hosts(name);
     if (m_config.base())
         for (const auto &entry : m_config.base()->hosts)
-            reply.add_registered_hosts(entry.name);
-    reply.set_parent(m_relay.parent());
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(m_fresh.leaseEnd() - now).count();
-    reply.set_lease_left_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(left, 0)));
+            response.add_registered_hosts(entry.name);
+    response.set_parent(m_relay.parent());
+    const auto leaseLeft = std::chrono::duration_cast<std::chrono::milliseconds>(m_freshness.leaseEnd() - now).count();
+    response.set_lease_left_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(leaseLeft, 0)));
     for (const auto &[key, values] : m_relay.shared().totals()) {
         if (!key.kind.empty())
             continue;
-        auto &entry = *reply.add_evidence();
+        auto &entry = *response.add_evidence();
         entry.set_version(key.version);
         entry.set_passed(values[0]);
         entry.set_failed(values[1]);
@@ -302,8 +305,8 @@
         entry.set_settled(values[3]);
     }
     for (const auto &version : m_relay.shared().haltedVersions())
-        reply.add_halted_versions(version);
-    return reply;
+        response.add_halted_versions(version);
+    return response;
 }
 
 } // namespace foxtaildyke
--- a/src/relay_task_core.cpp
+++ b/src/relay_task_core.cpp
@@ -1,4 +1,4 @@
-// Relay task: what it takes from the decision core and what it tells the core; see relay_task_p.h.
+// Relay task: exchange of inputs and outputs with the decision core; see relay_task_p.h.
 #include "relay_task_p.h"
 
 namespace foxtaildyke
@@ -9,15 +9,15 @@
 
 constexpr std::chrono::milliseconds kDemandPeriod{1000};
 
-/// Weight of the last second in the smoothed demand: a step is followed to nine tenths within about four seconds.
+/// Weight of the last period in the smoothed demand: the estimate reaches 90% of a step within about four seconds.
 constexpr double kDemandWeight = 0.5;
 
-/// Demand below this many requests per second counts as none.
-constexpr double kLeastRate = 0.001;
+/// Demand below this rate, in requests per second, counts as none.
+constexpr double kMinRate = 0.001;
 constexpr double kMilli = 1000;
 
-/// A share is sent to the core when it changed by more than this part.
-constexpr double kShareStep = 0.02;
+/// Minimum relative change of a share that is sent to the core.
+constexpr double kMinShareChange = 0.02;
 
 } // namespace
 
@@ -42,7 +42,7 @@
 
 void relay_task::share(const share_quarantine &entry)
 {
-    m_toldQuarantined.insert(entry.fingerprint);
+    m_publishedQuarantined.insert(entry.fingerprint);
     m_relay.addQuarantined(entry.fingerprint, event_loop::now());
     m_loop.post([this] { drive(); });
 }
@@ -53,7 +53,7 @@
         return;
     const auto account = m_config.view()->accountByKey(apiKey);
     if (account.isValid())
-        m_arrivals[(*m_config.view())[account].name] += 1;
+        m_requestCounts[(*m_config.view())[account].name] += 1;
 }
 
 void relay_task::measureDemand(instant now)
@@ -62,25 +62,26 @@
         return;
     const auto seconds = std::chrono::duration<double>(now - m_demandSince).count();
     m_demandSince = now;
-    for (const auto &[account, count] : m_arrivals)
-        m_rates.try_emplace(account, 0);
+    for (const auto &[account, count] : m_requestCounts)
+        m_requestRates.try_emplace(account, 0);
     demand_map demand;
-    for (auto &[account, rate] : m_rates) {
-        const auto found = m_arrivals.find(account);
-        const auto last = found == m_arrivals.end() ? 0 : found->second / seconds;
+    for (auto &[account, rate] : m_requestRates) {
+        const auto found = m_requestCounts.find(account);
+        const auto last = found == m_requestCounts.end() ? 0 : found->second / seconds;
         rate += kDemandWeight * (last - rate);
-        if (rate >= kLeastRate)
+        if (rate >= kMinRate)
             demand[account] = static_cast<std::uint64_t>(rate * kMilli);
     }
-    std::erase_if(m_rates, [](const auto &pair) { return pair.second < kLeastRate; });
-    m_arrivals.clear();
+    std::erase_if(m_requestRates, [](const auto &pair) { return pair.second < kMinRate; });
+    m_requestCounts.clear();
     m_relay.setDemand(std::move(demand));
 }
 
 void relay_task::publishLease()
 {
-    // A host that may not vouch has no lease, whatever stamps it has.
-    const lease_changed lease{m_fresh.generation(), m_fresh.mayAcknowledge() ? m_fresh.leaseEnd() : instant{}};
+    // A host that may not acknowledge generations has no lease, whatever stamps it has.
+    const lease_changed lease{m_freshness.generation(),
+                              m_freshness.mayAcknowledge() ? m_freshness.leaseEnd() : instant{}};
     if (lease.generation == m_lease.generation && lease.expiresAt == m_lease.expiresAt)
         return;
     m_lease = lease;
@@ -91,29 +92,29 @@
 {
     const auto &counts = m_relay.countsOfOthers();
     auto halted = m_relay.shared().haltedVersions();
-    if (counts != m_toldCounts || halted != m_toldHalts) {
+    if (counts != m_publishedCounts || halted != m_publishedHalts) {
         evidence_update evidence{.haltedVersions = halted};
         estimates_update estimates;
         for (const auto &[key, values] : counts) {
-            const auto told = m_toldCounts[key];
+            const auto published = m_publishedCounts[key];
             if (key.kind.empty())
                 evidence.totals.push_back(toEvidence(key, values));
-            else if (values != told)
-                estimates.counts.push_back({key.kind, key.version, values[0] - told[0], values[1] - told[1]});
+            else if (values != published)
+                estimates.counts.push_back({key.kind, key.version, values[0] - published[0], values[1] - published[1]});
         }
-        m_toldCounts = counts;
-        m_toldHalts = std::move(halted);
+        m_publishedCounts = counts;
+        m_publishedHalts = std::move(halted);
         m_deliver(std::move(evidence));
         if (!estimates.counts.empty())
             m_deliver(std::move(estimates));
     }
     quarantine_update quarantined;
     const auto present = m_relay.shared().quarantined();
-    // An expired entry may come back, and is then news again.
-    std::erase_if(m_toldQuarantined,
-                  [&](std::uint64_t told) { return std::ranges::find(present, told) == present.end(); });
+    // An expired entry may be added again and is then delivered again.
+    std::erase_if(m_publishedQuarantined,
+                  [&](std::uint64_t published) { return std::ranges::find(present, published) == present.end(); });
     for (const auto fingerprint : present)
-        if (m_toldQuarantined.insert(fingerprint).second)
+        if (m_publishedQuarantined.insert(fingerprint).second)
             quarantined.fingerprints.push_back(fingerprint);
     if (!quarantined.fingerprints.empty())
         m_deliver(std::move(quarantined));
@@ -127,12 +128,13 @@
     const auto hosts = static_cast<double>(std::max<std::size_t>(m_config.base()->hosts.size(), 1));
     for (const auto &account : m_config.base()->accounts)
         shares.try_emplace(account.name, 1 / hosts);
-    const bool isClose = std::ranges::equal(shares, m_toldShares, [](const auto &now, const auto &told) {
-        return now.first == told.first && std::abs(now.second - told.second) <= kShareStep * told.second;
+    const bool isClose = std::ranges::equal(shares, m_publishedShares, [](const auto &now, const auto &published) {
+        return now.first == published.first
+            && std::abs(now.second - published.second) <= kMinShareChange * published.second;
     });
     if (isClose)
         return;
-    m_toldShares = shares;
+    m_publishedShares = shares;
     m_deliver(limit_shares{std::move(shares)});
 }
 
--- a/src/relay_task_p.h
+++ b/src/relay_task_p.h
@@ -1,5 +1,5 @@
-// Runs freshness and relay in the router: reads the store while this host is a root, exchanges with other hosts over
-// gRPC, and feeds the decision core with configuration, lease, evidence, quarantine and limit shares.
+// Runs freshness and relay in the router: reads the store while this host is a root, exchanges messages with other
+// hosts over gRPC, and delivers configuration, lease, evidence, quarantine and limit shares to the decision core.
 #pragma once
 
 #include "config_holder_p.h"
@@ -17,23 +17,23 @@
 public:
     using event_sink = std::function<void(std::string type, std::string reason, generation_number generation)>;
 
-    /// Calls of other hosts that the ledger answers; see peer_handlers.
+    /// Calls of other hosts that the ledger handles; see peer_handlers.
     struct ledger_handlers {
         peer_handler<append_request, append_response> append;
         peer_handler<copy_bills_request, copy_bills_reply> copyBills;
     };
 
     relay_task(event_loop &loop, object_store &store, const process_settings &settings, core_sink deliver,
-               event_sink note);
+               note_event onEvent);
     ~relay_task();
     relay_task(const relay_task &) = delete;
     relay_task &operator=(const relay_task &) = delete;
 
-    /// Before start().
+    /// Must be called before start().
     void setLedger(ledger_handlers handlers);
 
-    /// Binds the peer address and starts the exchange. A failure to bind is noted as an event; the host then goes on
-    /// without children.
+    /// Binds the peer address and starts the exchange. If the address can't be bound, reports an event and runs without
+    /// children.
     void start();
 
     void share(const share_evidence &evidence);
@@ -45,35 +45,34 @@
     [[nodiscard]] peer_client &peers() { return m_peers; }
     [[nodiscard]] const config_holder &config() const { return m_config; }
 
-    /// @returns the peer address of a registered host, or nothing.
+    /// @returns the peer address of a seed or registered host, or nothing if the host is unknown.
     [[nodiscard]] std::optional<http_endpoint> endpointOf(const std::string &host) const;
-    /// @returns the name of this host.
     [[nodiscard]] const std::string &host() const { return m_settings.host; }
     [[nodiscard]] std::uint16_t peerPort() const { return m_peerPort; }
 
 private:
-    struct waiting_status {
+    struct pending_status_call {
         generation_number generation = 0;
         instant until{};
-        peer_responder<status_reply> reply;
+        peer_reply<status_reply> respond;
     };
 
     void drive();
-    void carryOut(relay_action &action);
-    void carryOut(start_exchange &action);
+    void execute(relay_action &action);
+    void execute(start_exchange &action);
     [[nodiscard]] std::chrono::milliseconds samplePeriod() const;
     void readStore(instant now);
-    void onRead(instant begun, const result<stored_object> &object);
+    void onRead(instant startedAt, const result<stored_object> &object);
     void adopt(const config_content &content, const char *source);
-    void noteRejected(const std::string &field);
-    void askToRecover(instant now);
-    void onRecovered(const std::string &host, instant askedAt, const result<recover_reply> &answer);
-    [[nodiscard]] recover_reply answerRecover(const recover_request &request) const;
+    void reportRejected(const std::string &field);
+    void requestRecovery(instant now);
+    void onRecoverResponse(const std::string &host, instant startedAt, const result<recover_reply> &response);
+    [[nodiscard]] recover_reply makeRecoverResponse(const recover_request &request) const;
     void measureDemand(instant now);
     void publishLease();
     void publishShared();
     void publishShares();
-    void answerStatus(instant now);
+    void respondToStatusCalls(instant now);
     [[nodiscard]] status_reply makeStatus(instant now) const;
     [[nodiscard]] peer_handlers makeHandlers();
 
@@ -81,9 +80,9 @@
     object_store &m_store;
     process_settings m_settings;
     core_sink m_deliver;
-    event_sink m_note;
+    note_event m_onEvent;
     config_holder m_config;
-    freshness m_fresh;
+    freshness m_freshness;
     relay m_relay;
     ledger_handlers m_ledger;
     peer_client m_peers;
@@ -93,27 +92,27 @@
     bool m_isDriving = false;
 
     instant m_nextRead{};
-    instant m_nextSample{}; ///< read of a host that needs none; see samplePeriod()
+    instant m_nextSample{}; ///< store read that happens even if none is needed; see samplePeriod()
     bool m_isReading = false;
     instant m_nextRecover{};
-    std::string m_rejectedField; ///< of the last configuration that could not be used
-    std::uint64_t m_lastAnswer = 0;
-    std::map<response_token, peer_responder<exchange_reply>> m_answers; ///< calls of children that wait
-    std::vector<waiting_status> m_waitingStatus;
+    std::string m_rejectedField; ///< invalid field of the last rejected configuration
+    std::uint64_t m_lastResponse = 0;
+    std::map<response_token, peer_reply<exchange_reply>> m_pendingExchanges; ///< calls of children without a response
+    std::vector<pending_status_call> m_pendingStatusCalls;
 
-    // What the core was told last.
+    // Values last delivered to the core.
     lease_changed m_lease;
-    std::map<count_key, count_values> m_toldCounts;
-    std::vector<std::string> m_toldHalts;
-    std::set<std::uint64_t> m_toldQuarantined;
-    std::map<std::string, double> m_toldShares;
+    std::map<count_key, count_values> m_publishedCounts;
+    std::vector<std::string> m_publishedHalts;
+    std::set<std::uint64_t> m_publishedQuarantined;
+    std::map<std::string, double> m_publishedShares;
 
-    std::map<std::string, double> m_arrivals; ///< requests by account since m_demandSince
-    std::map<std::string, double> m_rates; ///< smoothed requests per second by account
+    std::map<std::string, double> m_requestCounts; ///< requests by account since m_demandSince
+    std::map<std::string, double> m_requestRates; ///< smoothed requests per second by account
     instant m_demandSince{};
 };
 
-/// Ports of the router task on a relay task.
+/// Configuration port of the router task, implemented by a relay task.
 class relay_config : public config_port
 {
 public:
@@ -127,6 +126,7 @@
     std::shared_ptr<relay_task> m_task;
 };
 
+/// Sharing port of the router task, implemented by a relay task.
 class relay_sharing : public sharing_port
 {
 public:
--- a/tests/test_relay_task.cpp
+++ b/tests/test_relay_task.cpp
@@ -1,5 +1,5 @@
-// Relay tasks of three hosts over gRPC on the loopback address, with a store in memory. Times are only bounds after
-// which a test gives up.
+// Relay tasks of three hosts over gRPC on the loopback address, with an in-memory store. Times are only timeouts of the
+// tests.
 #include "relay_task_p.h"
 
 #include <doctest/doctest.h>
@@ -39,8 +39,8 @@
     event_loop &m_loop;
 };
 
-/// What the core of one host was told.
-struct told {
+/// State of one host's core after the inputs it has received.
+struct core_state {
     generation_number generation = 0;
     lease_changed lease;
     std::vector<std::string> halted;
@@ -49,7 +49,7 @@
     std::vector<estimate_counts> estimates;
     std::map<std::string, double> shares;
 
-    void take(const core_input &input)
+    void apply(const core_input &input)
     {
         if (const auto *config = std::get_if<config_changed>(&input))
             generation = config->config->generation;
@@ -57,8 +57,8 @@
             lease = *change;
         else if (const auto *evidence = std::get_if<evidence_update>(&input))
             halted = evidence->haltedVersions, totals = evidence->totals;
-        else if (const auto *learnt = std::get_if<estimates_update>(&input))
-            std::ranges::copy(learnt->counts, std::back_inserter(estimates));
+        else if (const auto *update = std::get_if<estimates_update>(&input))
+            std::ranges::copy(update->counts, std::back_inserter(estimates));
         else if (const auto *entries = std::get_if<quarantine_update>(&input))
             std::ranges::copy(entries->fingerprints, std::back_inserter(quarantined));
         else if (const auto *limits = std::get_if<limit_shares>(&input))
@@ -90,7 +90,7 @@
                 settings.seeds.push_back({nameOf(i), {"127.0.0.1", ports[i]}});
         state[host] = {};
         tasks[host] = std::make_unique<relay_task>(
-            loop, store, settings, [this, host](const core_input &input) { state[host].take(input); },
+            loop, store, settings, [this, host](const core_input &input) { state[host].apply(input); },
             [](const std::string &, const std::string &, generation_number) {});
         tasks[host]->start();
         ports[host] = tasks[host]->peerPort();
@@ -114,7 +114,8 @@
         store.object = {encodeConfig(document), document.generation};
     }
 
-    /// Runs the loop until a condition holds, at most 20 s.
+    /// Runs the loop until a condition holds, for at most 20 s.
+    /// @returns whether it holds.
     bool runUntil(std::function<bool()> condition)
     {
         m_condition = std::move(condition);
@@ -125,12 +126,12 @@
         return m_holds;
     }
 
-    bool all(const std::function<bool(const told &)> &holds) const { return std::ranges::all_of(state, holds); }
+    bool all(const std::function<bool(const core_state &)> &holds) const { return std::ranges::all_of(state, holds); }
     static std::string nameOf(std::size_t host) { return "entry-" + std::to_string(host); }
 
     event_loop loop;
     memory_store store;
-    std::array<told, 3> state;
+    std::array<core_state, 3> state;
     std::array<std::uint16_t, 3> ports{};
     std::array<std::unique_ptr<relay_task>, 3> tasks;
 
@@ -154,14 +155,14 @@
 TEST_CASE("relay task: three hosts over gRPC share configuration, halts, quarantine, evidence and estimates")
 {
     three_hosts hosts;
-    REQUIRE(
-        hosts.runUntil([&] { return hosts.all([](const told &t) { return t.generation == 1 && t.mayDispatch(); }); }));
+    REQUIRE(hosts.runUntil(
+        [&] { return hosts.all([](const core_state &t) { return t.generation == 1 && t.mayDispatch(); }); }));
     hosts.tasks[2]->share(share_halt{"v7"});
     hosts.tasks[1]->share(share_quarantine{42});
     hosts.tasks[1]->share(share_evidence{{"v7", 3, 4, 7, 7}});
     hosts.tasks[2]->share(share_estimates{{{"tone-check", "v7", 5, 6}}});
     CHECK(hosts.runUntil(
-        [&] { return hosts.all([](const told &t) { return t.halted == std::vector<std::string>{"v7"}; }); }));
+        [&] { return hosts.all([](const core_state &t) { return t.halted == std::vector<std::string>{"v7"}; }); }));
     const auto hasCounts = [&] {
         return !hosts.state[0].totals.empty() && hosts.state[0].totals[0].failed == 4
             && !hosts.state[0].estimates.empty() && !hosts.state[0].quarantined.empty()
@@ -169,42 +170,43 @@
     };
     CHECK(hosts.runUntil(hasCounts));
     CHECK(hosts.state[0].estimates[0].missed == 6);
-    // What a host has learnt itself does not come back to it.
+    // A host doesn't receive its own estimates and quarantine entries.
     CHECK(hosts.state[2].estimates.empty());
     CHECK(hosts.state[1].quarantined.empty());
 }
 
-TEST_CASE("relay task: a Status call waits until all hosts hold the generation")
+TEST_CASE("relay task: a Status call waits until all hosts acknowledge the generation")
 {
     three_hosts hosts;
-    REQUIRE(hosts.runUntil([&] { return hosts.all([](const told &t) { return t.mayDispatch(); }); }));
+    REQUIRE(hosts.runUntil([&] { return hosts.all([](const core_state &t) { return t.mayDispatch(); }); }));
     std::optional<status_reply> status;
     status_request request;
     request.set_generation(2);
     request.set_wait_ms(15000);
     peer_client client(hosts.loop);
-    client.status({"127.0.0.1", hosts.ports[2]}, request, 18s, [&](const result<status_reply> &reply) {
-        REQUIRE(reply.has_value());
-        status = reply.value();
+    client.status({"127.0.0.1", hosts.ports[2]}, request, 18s, [&](const result<status_reply> &response) {
+        REQUIRE(response.has_value());
+        status = response.value();
     });
     hosts.publish();
     REQUIRE(hosts.runUntil([&] { return status.has_value(); }));
     CHECK(status->generation() == 2);
     CHECK(status->acknowledged_hosts_size() == 3);
     CHECK(status->parent() == "entry-0");
-    CHECK(hosts.all([](const told &t) { return t.generation == 2; }));
+    CHECK(hosts.all([](const core_state &t) { return t.generation == 2; }));
 }
 
-TEST_CASE("relay task: during a store outage leases go on, and a restarted host recovers by answers")
+TEST_CASE("relay task: leases are renewed during a store outage, and a restarted host recovers through responses of "
+          "its peers")
 {
     three_hosts hosts;
-    REQUIRE(hosts.runUntil([&] { return hosts.all([](const told &t) { return t.mayDispatch(); }); }));
+    REQUIRE(hosts.runUntil([&] { return hosts.all([](const core_state &t) { return t.mayDispatch(); }); }));
     hosts.store.isUp = false;
     const auto outage = event_loop::now();
     REQUIRE(hosts.runUntil([&] { return event_loop::now() - outage > 3s; }));
-    CHECK(hosts.all([](const told &t) { return t.mayDispatch(); }));
+    CHECK(hosts.all([](const core_state &t) { return t.mayDispatch(); }));
     hosts.tasks[2].reset();
     hosts.start(2, {"127.0.0.1", hosts.ports[2]});
     CHECK_FALSE(hosts.state[2].mayDispatch());
-    CHECK(hosts.runUntil([&] { return hosts.all([](const told &t) { return t.mayDispatch(); }); }));
+    CHECK(hosts.runUntil([&] { return hosts.all([](const core_state &t) { return t.mayDispatch(); }); }));
 }
