--- a/src/load_poller_p.h
+++ b/src/load_poller_p.h
@@ -10,7 +10,7 @@
 {
 
 /// Maximum number of replicas of one version that a host uses.
-constexpr std::size_t kReplicasPerVersion = 64;
+constexpr std::size_t kMaxReplicasPerVersion = 64;
 
 /// Selects the replicas that a host uses by rendezvous hashing of host and replica: for each version the live replicas
 /// with the lowest hashes, and all leaving replicas.
--- a/src/peer_service_p.h
+++ b/src/peer_service_p.h
@@ -11,11 +11,11 @@
 
 /// Sends the response of one call. Must be called once, on the event loop, at any time.
 template <typename response_type>
-using peer_reply = std::function<void(response_type)>;
+using peer_responder = std::function<void(response_type)>;
 
 /// Handles a call on the event loop.
 template <typename request_type, typename response_type>
-using peer_handler = std::function<void(const request_type &, peer_reply<response_type>)>;
+using peer_handler = std::function<void(const request_type &, peer_responder<response_type>)>;
 
 /// Calls without a handler fail with the gRPC status UNIMPLEMENTED.
 struct peer_handlers {
--- a/src/relay_ledger.cpp
+++ b/src/relay_ledger.cpp
@@ -17,7 +17,7 @@
     return std::chrono::duration_cast<std::chrono::seconds>(time).count();
 }
 
-append_response encodeResponse(const result<std::vector<append_reply>> &results)
+append_response encodeResponse(const result<std::vector<append_outcome>> &results)
 {
     // A failure is encoded as a response without outcomes; the host that sent the records then reads the log.
     append_response response;
@@ -26,19 +26,19 @@
     for (const auto &entry : results.value()) {
         auto *outcome = response.add_outcomes();
         outcome->set_status(static_cast<std::uint32_t>(entry.status));
-        outcome->set_answer(entry.answer);
+        outcome->set_answer(entry.response);
         for (const auto &pin : entry.pins)
             outcome->add_pins(pin);
     }
     return response;
 }
 
-result<std::vector<append_reply>> decodeResponse(const append_response &response)
+result<std::vector<append_outcome>> decodeResponse(const append_response &response)
 {
     const error failure{error_code::protocol_violation, "append"};
     if (response.outcomes().empty())
         return failure;
-    std::vector<append_reply> results;
+    std::vector<append_outcome> results;
     for (const auto &outcome : response.outcomes()) {
         if (outcome.status() >= static_cast<std::uint32_t>(ledger_status::count))
             return failure;
@@ -65,15 +65,15 @@
 relay_task::ledger_handlers relay_ledger::makeHandlers()
 {
     return {.append =
-                [this](const append_request &request, const peer_reply<append_response> &respond) {
+                [this](const append_request &request, const peer_responder<append_response> &respond) {
                     m_service.serveAppend(request.segment(), request.batch(),
-                                          [respond](const result<std::vector<append_reply>> &results) {
+                                          [respond](const result<std::vector<append_outcome>> &results) {
                                               respond(encodeResponse(results));
                                           });
                     schedule();
                 },
             .copyBills =
-                [this](const copy_bills_request &request, const peer_reply<copy_bills_reply> &respond) {
+                [this](const copy_bills_request &request, const peer_responder<copy_bills_reply> &respond) {
                     const std::vector<std::string> release(request.release().begin(), request.release().end());
                     copy_bills_reply response;
                     response.set_kept(m_service.serveCopies(request.host(), request.batch(), release));
@@ -85,13 +85,13 @@
 append_done relay_ledger::makeResponseHandler(request_token request, ledger_step step)
 {
     ++m_openRecords;
-    return [this, request, step](append_reply response) {
+    return [this, request, step](append_outcome outcome) {
         --m_openRecords;
         m_deliver(ledger_response{.request = request,
                                   .step = step,
-                                  .status = response.status,
-                                  .answer = std::move(response.answer),
-                                  .pins = std::move(response.pins)});
+                                  .status = outcome.status,
+                                  .answer = std::move(outcome.response),
+                                  .pins = std::move(outcome.pins)});
     };
 }
 
@@ -115,7 +115,7 @@
 
 bool relay_ledger::isIdle() const
 {
-    return m_openRecords == 0 && m_service.unsecuredBills() == 0;
+    return m_openRecords == 0 && m_service.uncopiedBills() == 0;
 }
 
 void relay_ledger::onConfig(const fleet_ptr &config)
--- a/src/relay_task.cpp
+++ b/src/relay_task.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 relay_task::relay_task(event_loop &loop, object_store &store, const process_settings &settings, core_sink deliver,
-                       note_event onEvent)
+                       event_sink onEvent)
     : m_loop(loop)
     , m_store(store)
     , m_settings(settings)
@@ -247,16 +247,16 @@
 peer_handlers relay_task::makeHandlers()
 {
     peer_handlers handlers;
-    handlers.exchange = [this](const exchange_request &request, peer_reply<exchange_reply> respond) {
+    handlers.exchange = [this](const exchange_request &request, peer_responder<exchange_reply> respond) {
         const response_token token{++m_lastResponse};
         m_pendingExchanges[token] = std::move(respond);
         m_relay.handleCall(token, fromWire(request), event_loop::now());
         drive();
     };
-    handlers.recover = [this](const recover_request &request, const peer_reply<recover_reply> &respond) {
+    handlers.recover = [this](const recover_request &request, const peer_responder<recover_reply> &respond) {
         respond(makeRecoverResponse(request));
     };
-    handlers.status = [this](const status_request &request, peer_reply<status_reply> respond) {
+    handlers.status = [this](const status_request &request, peer_responder<status_reply> respond) {
         const auto until = event_loop::now() + std::chrono::milliseconds(request.wait_ms());
         m_pendingStatusCalls.push_back({request.generation(), until, std::move(respond)});
         respondToStatusCalls(event_loop::now());
--- a/src/relay_task_p.h
+++ b/src/relay_task_p.h
@@ -24,7 +24,7 @@
     };
 
     relay_task(event_loop &loop, object_store &store, const process_settings &settings, core_sink deliver,
-               note_event onEvent);
+               event_sink onEvent);
     ~relay_task();
     relay_task(const relay_task &) = delete;
     relay_task &operator=(const relay_task &) = delete;
@@ -54,7 +54,7 @@
     struct pending_status_call {
         generation_number generation = 0;
         instant until{};
-        peer_reply<status_reply> respond;
+        peer_responder<status_reply> respond;
     };
 
     void drive();
@@ -80,7 +80,7 @@
     object_store &m_store;
     process_settings m_settings;
     core_sink m_deliver;
-    note_event m_onEvent;
+    event_sink m_onEvent;
     config_holder m_config;
     freshness m_freshness;
     relay m_relay;
@@ -97,7 +97,7 @@
     instant m_nextRecover{};
     std::string m_rejectedField; ///< invalid field of the last rejected configuration
     std::uint64_t m_lastResponse = 0;
-    std::map<response_token, peer_reply<exchange_reply>> m_pendingExchanges; ///< calls of children without a response
+    std::map<response_token, peer_responder<exchange_reply>> m_pendingExchanges; ///< calls of children
     std::vector<pending_status_call> m_pendingStatusCalls;
 
     // Values last delivered to the core.
