--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,5 +1,5 @@
-// Builds and checks the typed view of the configuration: base, overlay of a failure domain, references; see
-// settings_p.h.
+// Builds and checks the typed configuration: base settings, overlay of a failure domain and references between entries;
+// see settings_p.h.
 #include "settings_table_p.h"
 
 namespace foxtaildyke
@@ -60,21 +60,22 @@
     return success();
 }
 
-/// Number of baselines before a version; more than there are versions where the chain is a cycle.
-std::size_t ageRank(const fleet &built, const version_config &version)
+/// Length of the chain of baselines before a version; greater than the number of versions where the chain is a cycle.
+std::size_t baselineDepth(const fleet &built, const version_config &version)
 {
-    std::size_t rank = 0;
-    for (auto next = version.baseline; next.isValid() && rank <= built.versions.size(); ++rank)
+    std::size_t depth = 0;
+    for (auto next = version.baseline; next.isValid() && depth <= built.versions.size(); ++depth)
         next = built[next].baseline;
-    return rank;
+    return depth;
 }
 
-/// Lists the versions of each model, oldest first. The text keeps no order, so age follows from the baselines.
+/// Lists the versions of each model, oldest first. The sorted document does not keep the order of the text, so the age
+/// is derived from the baselines.
 result<void> linkVersions(fleet &built)
 {
     for (const auto &version : built.versions) {
-        const auto foreign = version.baseline.isValid() && built[version.baseline].model != version.model;
-        if (foreign || ageRank(built, version) > built.versions.size())
+        const auto isOtherModel = version.baseline.isValid() && built[version.baseline].model != version.model;
+        if (isOtherModel || baselineDepth(built, version) > built.versions.size())
             return error{error_code::unknown_reference, sectionOf(version) + "/baseline"};
         // A grant names versions or models; one name for both would be ambiguous.
         if (built.modelByName(version.name).isValid())
@@ -82,14 +83,14 @@
         built.models[version.model.index].versions.push_back(built.versionByName(version.name));
     }
     for (auto &model : built.models)
-        std::ranges::stable_sort(model.versions, {}, [&](version_handle v) { return ageRank(built, built[v]); });
+        std::ranges::stable_sort(model.versions, {}, [&](version_handle v) { return baselineDepth(built, built[v]); });
     return success();
 }
 
 result<void> checkRelations(const fleet &built)
 {
     for (const auto &kind : built.kinds) {
-        // A request that must not run twice can't be escalated to another model.
+        // Escalation runs a request on another model, so a request that must not run twice can't be escalated.
         if (!kind.idempotent && kind.cascade.size() != 1)
             return error{error_code::value_out_of_range, sectionOf(kind) + "/cascade"};
     }
@@ -97,7 +98,7 @@
         if (std::ranges::count(built.accounts, account.apiKey, &account_config::apiKey) > 1)
             return error{error_code::value_out_of_range, sectionOf(account) + "/api_key"};
     }
-    // A child that lost its parent needs up to two periods to find the next one.
+    // A relay child that lost its parent needs up to two exchange periods to find another one.
     if (built.tune.freshnessLease < 2 * built.tune.exchangePeriod)
         return error{error_code::value_out_of_range, "tuning/freshness_lease_ms"};
     return success();
@@ -120,10 +121,10 @@
     BOOST_OUTCOME_TRYV(fillEntries(document, built.hosts, built));
     BOOST_OUTCOME_TRYV(fillEntry(document, built.tune, built));
     BOOST_OUTCOME_TRYV(checkRelations(built));
-    const auto place = [](const host_config &host) {
+    const auto sortKey = [](const host_config &host) {
         return std::tie(host.region, host.failureDomain, host.name);
     };
-    std::ranges::sort(built.hosts, {}, place);
+    std::ranges::sort(built.hosts, {}, sortKey);
     return built;
 }
 
@@ -174,7 +175,7 @@
     return std::move(overlaid);
 }
 
-error inOverlay(const std::string &failureDomain, const error &failure)
+error withOverlayName(const std::string &failureDomain, const error &failure)
 {
     return {failure.code, failureDomain + ": " + failure.field};
 }
@@ -190,7 +191,7 @@
         return std::move(base);
     auto overlaid = applyOverlay(layers.base, base, overlay->second);
     if (overlaid.has_error())
-        return inOverlay(overlay->first, overlaid.error());
+        return withOverlayName(overlay->first, overlaid.error());
     return overlaid;
 }
 
--- a/src/settings_edits.cpp
+++ b/src/settings_edits.cpp
@@ -1,4 +1,5 @@
-// Edits of the configuration: applying them, comparing layers, and the rule that withdrawn is final; see settings_p.h.
+// Edits of the configuration: applies edits, compares layers, and enforces that a withdrawal is final; see
+// settings_p.h.
 #include "settings_table_p.h"
 
 #include <set>
@@ -18,8 +19,8 @@
     return splitSection(section).type == section_table<version_config>::kSection;
 }
 
-/// @returns the state that a layer declares for a version, or empty.
-std::string stateIn(const ini_document &layer, const std::string &section)
+/// @returns the state that a layer declares for a version, or an empty string.
+std::string declaredState(const ini_document &layer, const std::string &section)
 {
     const auto keys = layer.find(section);
     if (keys == layer.end() || !isVersionSection(section))
@@ -30,7 +31,7 @@
 
 bool isWithdrawn(const ini_document &layer, const std::string &section)
 {
-    return stateIn(layer, section) == nameOf(version_state::withdrawn);
+    return declaredState(layer, section) == nameOf(version_state::withdrawn);
 }
 
 std::string fieldName(const config_edit &edit)
@@ -39,21 +40,21 @@
     return edit.layer.empty() ? field : edit.layer + ": " + field;
 }
 
-/// @returns whether the version takes no new sessions in this layer.
-bool isStopped(const ini_document &layer, const std::string &section)
+/// @returns whether the version accepts no new sessions according to this layer.
+bool isHaltedOrWithdrawn(const ini_document &layer, const std::string &section)
 {
-    return isWithdrawn(layer, section) || stateIn(layer, section) == nameOf(version_state::halted);
+    return isWithdrawn(layer, section) || declaredState(layer, section) == nameOf(version_state::halted);
 }
 
-/// An overlay state that is above the base's would contradict a base that halts or withdraws the version, and would
-/// block that change; it has no meaning any more and is dropped.
-void dropOverlayStates(config_layers &layers, const std::string &section)
+/// Removes overlay states that are less strict than the base state, once the base halts or withdraws the version. Such
+/// a state has no effect any more, but would contradict the base and so block the halt or withdrawal.
+void removeOverlayStates(config_layers &layers, const std::string &section)
 {
     const bool withdrawn = isWithdrawn(layers.base, section);
     for (auto entry = layers.overlays.begin(); entry != layers.overlays.end();) {
         auto &overlay = entry->second;
         const auto keys = overlay.find(section);
-        const bool isKept = withdrawn ? isWithdrawn(overlay, section) : isStopped(overlay, section);
+        const bool isKept = withdrawn ? isWithdrawn(overlay, section) : isHaltedOrWithdrawn(overlay, section);
         if (keys != overlay.end() && !isKept) {
             keys->second.erase(std::string(kStateKey));
             if (keys->second.empty())
@@ -65,14 +66,14 @@
 
 result<void> checkEdit(const config_edit &edit)
 {
-    const bool isForm = edit.key.empty() ? !edit.value : !edit.value || isCanonicalValue(*edit.value);
-    const bool isLayer = edit.layer.empty() || isEntryName(edit.layer);
-    if (!isForm || !isLayer || edit.section.empty())
+    const bool isWellFormed = edit.key.empty() ? !edit.value : !edit.value || isCanonicalValue(*edit.value);
+    const bool isValidLayer = edit.layer.empty() || isEntryName(edit.layer);
+    if (!isWellFormed || !isValidLayer || edit.section.empty())
         return error{error_code::invalid_syntax, fieldName(edit)};
     return success();
 }
 
-void changeDocument(ini_document &document, const config_edit &edit)
+void editDocument(ini_document &document, const config_edit &edit)
 {
     if (edit.value) {
         document[edit.section][edit.key] = *edit.value;
@@ -92,18 +93,18 @@
     BOOST_OUTCOME_TRYV(checkEdit(edit));
     auto &document = edit.layer.empty() ? layers.base : layers.overlays[edit.layer];
     const bool wasWithdrawn = isWithdrawn(document, edit.section);
-    changeDocument(document, edit);
+    editDocument(document, edit);
     const bool withdrawn = isWithdrawn(document, edit.section);
     if (wasWithdrawn && !withdrawn)
         return error{error_code::version_reinstated, fieldName(edit)};
     if (document.empty() && !edit.layer.empty())
         layers.overlays.erase(edit.layer);
-    if (edit.layer.empty() && isStopped(layers.base, edit.section))
-        dropOverlayStates(layers, edit.section);
+    if (edit.layer.empty() && isHaltedOrWithdrawn(layers.base, edit.section))
+        removeOverlayStates(layers, edit.section);
     return success();
 }
 
-/// Adds the edits that turn one document into another. Sections that vanish are removed as a whole.
+/// Appends the edits that turn one document into another. A section missing from the second is removed with one edit.
 void diffDocument(const std::string &layer, const ini_document &from, const ini_document &to,
                   std::vector<config_edit> &edits)
 {
@@ -116,8 +117,8 @@
         const auto old = from.find(section);
         const auto &oldKeys = old == from.end() ? s_noKeys : old->second;
         for (const auto &[key, value] : keys) {
-            const auto same = oldKeys.find(key);
-            if (same == oldKeys.end() || same->second != value)
+            const auto oldEntry = oldKeys.find(key);
+            if (oldEntry == oldKeys.end() || oldEntry->second != value)
                 edits.push_back({layer, section, key, value});
         }
         for (const auto &[key, value] : oldKeys) {
@@ -129,9 +130,9 @@
 
 const ini_document &overlayOf(const config_layers &layers, const std::string &failureDomain)
 {
-    static const ini_document s_none;
+    static const ini_document s_emptyOverlay;
     const auto found = layers.overlays.find(failureDomain);
-    return found == layers.overlays.end() ? s_none : found->second;
+    return found == layers.overlays.end() ? s_emptyOverlay : found->second;
 }
 
 } // namespace
--- a/src/settings_ini.cpp
+++ b/src/settings_ini.cpp
@@ -1,4 +1,4 @@
-// INI text to sections and back, through inih; see settings_p.h.
+// Parses INI text with inih and formats it; see settings_p.h.
 #include "settings_table_p.h"
 
 #include <ini.h>
@@ -11,8 +11,9 @@
 namespace
 {
 
-// inih cuts names of sections and keys at 49 characters and splits lines at its buffer size, both without an error.
-constexpr std::size_t kMostNameLength = 49;
+// inih truncates names of sections and keys to 49 characters and splits lines at its buffer size, both without an
+// error.
+constexpr std::size_t kMaxNameLength = 49;
 constexpr std::size_t kWrapColumn = 120;
 
 bool isSpace(char c)
@@ -28,18 +29,19 @@
     return words;
 }
 
-/// Feeds lines to inih and collects what it reports; knows the line that is being parsed.
+/// Supplies lines to inih and collects the keys and errors. Tracks the current line, which inih does not report to its
+/// callbacks.
 struct ini_reader_state {
-    std::string_view rest;
+    std::string_view remaining;
     std::string_view line;
     int lineNumber = 0;
     int firstError = 0;
-    int emptyHeader = 0; ///< first header without a key; reported only where nothing else is wrong
-    int openHeader = 0; ///< line of a section header that has no key yet; 0 where there is none
-    bool hasKey = false; ///< a key came since the last header, so that an indented line continues its value
+    int emptyHeader = 0; ///< line of the first section without keys; reported only where there is no other error
+    int openHeader = 0; ///< line of the current section header while the section has no key; otherwise 0
+    bool hasKey = false; ///< whether the current section has a key, so that an indented line continues its value
     ini_document document;
 
-    void fail(int number)
+    void recordError(int number)
     {
         if (firstError == 0)
             firstError = number;
@@ -54,7 +56,7 @@
         openHeader = 0;
     }
 
-    void noteHeader()
+    void recordHeader()
     {
         const auto text = line.substr(std::min(line.find_first_not_of(" \t"), line.size()));
         if (!text.starts_with('[') || (isContinuation() && hasKey))
@@ -62,34 +64,34 @@
         closeHeader();
         openHeader = lineNumber;
         hasKey = false;
-        if (text.find(']') == std::string_view::npos || text.find(']') > kMostNameLength)
-            fail(lineNumber);
+        if (text.find(']') == std::string_view::npos || text.find(']') > kMaxNameLength)
+            recordError(lineNumber);
     }
 
     char *next(char *buffer, int size)
     {
-        if (rest.empty())
+        if (remaining.empty())
             return nullptr;
-        const auto end = std::min(rest.find('\n'), rest.size());
-        line = rest.substr(0, end);
-        rest.remove_prefix(std::min(end + 1, rest.size()));
+        const auto end = std::min(remaining.find('\n'), remaining.size());
+        line = remaining.substr(0, end);
+        remaining.remove_prefix(std::min(end + 1, remaining.size()));
         ++lineNumber;
-        noteHeader();
-        const auto room = static_cast<std::size_t>(size) - 3;
-        if (line.size() > room)
-            fail(lineNumber);
-        const auto copied = std::min(line.size(), room);
+        recordHeader();
+        const auto capacity = static_cast<std::size_t>(size) - 3;
+        if (line.size() > capacity)
+            recordError(lineNumber);
+        const auto copied = std::min(line.size(), capacity);
         std::memcpy(buffer, line.data(), copied);
         std::memcpy(buffer + copied, "\n", 2);
         return buffer;
     }
 
-    bool accept(std::string_view section, std::string_view key, std::string_view value)
+    bool addKey(std::string_view section, std::string_view key, std::string_view value)
     {
         openHeader = 0;
         hasKey = true;
         const auto text = collapseSpaces(value);
-        if (section.empty() || key.empty() || key.size() >= kMostNameLength || !isCanonicalValue(text))
+        if (section.empty() || key.empty() || key.size() >= kMaxNameLength || !isCanonicalValue(text))
             return false;
         auto &keys = document[collapseSpaces(section)];
         const auto [entry, isNew] = keys.try_emplace(std::string(key), text);
@@ -107,12 +109,12 @@
     return static_cast<ini_reader_state *>(stream)->next(buffer, size);
 }
 
-int takeKey(void *user, const char *section, const char *name, const char *value)
+int handleKey(void *user, const char *section, const char *name, const char *value)
 {
-    return static_cast<ini_reader_state *>(user)->accept(section, name, value) ? 1 : 0;
+    return static_cast<ini_reader_state *>(user)->addKey(section, name, value) ? 1 : 0;
 }
 
-/// Appends "key = value", continued on indented lines where it is long.
+/// Appends "key = value"; wraps long values onto indented lines.
 void appendKey(std::string &text, std::string_view key, std::string_view value)
 {
     text.append(key).append(" =");
@@ -133,14 +135,14 @@
 result<ini_document> parseIni(std::string_view text)
 {
     ini_reader_state state;
-    state.rest = text;
+    state.remaining = text;
     if (text.find('\0') != std::string_view::npos)
         return error{error_code::invalid_syntax, "line 1"};
-    const int errorLine = ini_parse_stream(readLine, &state, takeKey, &state);
+    const int errorLine = ini_parse_stream(readLine, &state, handleKey, &state);
     state.closeHeader();
     if (errorLine != 0 && (state.firstError == 0 || errorLine < state.firstError))
         state.firstError = errorLine;
-    state.fail(state.emptyHeader);
+    state.recordError(state.emptyHeader);
     if (state.firstError != 0)
         return error{error_code::invalid_syntax, "line " + std::to_string(state.firstError)};
     return std::move(state.document);
--- a/src/settings_json.cpp
+++ b/src/settings_json.cpp
@@ -1,4 +1,4 @@
-// JSON form of the object config/current and of edits; see settings_p.h.
+// JSON encoding of the object config/current and of edits; see settings_p.h.
 #include "settings_p.h"
 
 #include <nlohmann/json.hpp>
@@ -66,7 +66,8 @@
 ini_document readLayer(const json &text)
 {
     auto document = parseIni(text.get_ref<const std::string &>());
-    // Errors of the layer become errors of the whole object, as wrong types do.
+    // Thrown as a JSON error, so that decode() reports an invalid layer like a wrong type: as an error of the whole
+    // object.
     if (document.has_error())
         throw json::other_error::create(501, document.error().field, &text);
     return std::move(document.value());
@@ -84,7 +85,7 @@
     return document;
 }
 
-/// Runs a reader on parsed text; a wrong shape gives protocol_violation with the reader's name as field.
+/// Parses the text and converts it with the reader; malformed content gives protocol_violation with @p name as field.
 template <typename value_type>
 result<value_type> decode(std::string_view text, std::string_view name, value_type (*reader)(const json &))
 {
@@ -105,7 +106,7 @@
     auto history = json::array();
     for (const auto &change : document.history)
         history.push_back(toJson(change));
-    // Author, time and change id of the object itself are those of its newest change.
+    // The object has no author, time or change id of its own: those of its newest change apply.
     return dump({{"generation", document.generation},
                  {"base", formatIni(document.layers.base)},
                  {"overlays", overlays},
--- a/src/settings_p.h
+++ b/src/settings_p.h
@@ -1,5 +1,5 @@
-// Settings: INI text to typed configuration. Knows every section and key, merges the overlay of a failure domain over
-// the base, and rejects what is unknown, out of range or contradictory with a typed error that names the field.
+// Settings: converts INI text to the typed configuration. Merges the overlay of a failure domain with the base, and
+// rejects unknown, out-of-range and contradictory settings with a typed error that names the field.
 #pragma once
 
 #include "fleet_p.h"
@@ -9,28 +9,28 @@
 namespace foxtaildyke
 {
 
-/// INI text as sections of keys; the canonical form of a configuration.
-/// Shape: section name ("account lin-shou") to key to value. Sorted, so that equal documents have equal text.
+/// Parsed INI text, the canonical form of a configuration: maps a section name ("account lin-shou") to its keys and
+/// values. Sorted, so that equal documents have equal text.
 using ini_document = std::map<std::string, std::map<std::string, std::string>>;
 
-/// One change of the configuration: keys set or removed in one layer.
+/// One edit of the configuration: sets or removes a key, or removes a section, in one layer.
 struct config_edit {
     std::string layer; ///< "" for the base, otherwise the failure domain of an overlay
     std::string section;
-    std::string key; ///< "" removes or names the whole section
-    std::optional<std::string> value; ///< nothing removes the key
+    std::string key; ///< "" for the whole section, which can only be removed
+    std::optional<std::string> value; ///< std::nullopt removes the key or section
 };
 
-/// Everything operators declare: the base and one overlay for each failure domain.
+/// The configuration as declared by operators: the base and at most one overlay for each failure domain.
 struct config_layers {
     ini_document base;
-    std::map<std::string, ini_document> overlays; ///< by failure domain
+    std::map<std::string, ini_document> overlays; ///< keyed by failure domain
 };
 
-/// One accepted or pending change, as kept in the history of `config/current`.
+/// One accepted or pending change, as stored in the history of `config/current`.
 struct config_change {
-    generation_number generation = 0; ///< the generation that it made
-    std::string changeId; ///< chosen by the operator's tool; tells a lost answer from a lost race
+    generation_number generation = 0; ///< the generation that the change created
+    std::string changeId; ///< set by the operator's tool, to tell a lost response (the change was made) from a conflict
     std::string author;
     std::int64_t unixMs = 0;
     std::vector<config_edit> edits;
@@ -40,7 +40,7 @@
 struct config_document {
     generation_number generation = 0;
     config_layers layers;
-    std::vector<config_change> history; ///< newest last, at most kHistoryLength
+    std::vector<config_change> history; ///< newest last; at most kHistoryLength entries
     static constexpr std::size_t kHistoryLength = 64;
 };
 
@@ -48,11 +48,11 @@
 /// @returns the document, or error_code::invalid_syntax with the line number as field.
 [[nodiscard]] result<ini_document> parseIni(std::string_view text);
 
-/// Writes a document as INI text; parseIni() of the text gives the same document.
+/// Formats a document as INI text; parseIni() of the text gives the same document.
 [[nodiscard]] std::string formatIni(const ini_document &document);
 
-/// Checks the layers and builds the view of one failure domain.
-/// @param failureDomain name of the overlay to apply; where there is none the base alone is used.
+/// Checks the base and the overlay of one failure domain, and builds the configuration that results from both.
+/// @param failureDomain name of the overlay to apply; the base alone is used where it does not exist.
 /// @returns the fleet, or the first error with the field as "section/key".
 [[nodiscard]] result<fleet> buildFleet(const config_layers &layers, generation_number generation,
                                        std::string_view failureDomain);
@@ -60,17 +60,17 @@
 /// Checks the base and every overlay.
 [[nodiscard]] result<void> checkLayers(const config_layers &layers);
 
-/// Applies edits in order. Withdrawn versions stay withdrawn: an edit that would reinstate one is an error
-/// (version_reinstated), and one that removes its section is as well.
+/// Applies edits in order. Withdrawn versions stay withdrawn: an edit that would reinstate one or remove its section
+/// gives error_code::version_reinstated.
 [[nodiscard]] result<config_layers> applyEdits(const config_layers &layers, const std::vector<config_edit> &edits);
 
-/// Edits that turn one set of layers into another.
+/// @returns the edits that turn one set of layers into another.
 [[nodiscard]] std::vector<config_edit> diffLayers(const config_layers &from, const config_layers &to);
 
 /// @returns the reference of all sections and keys in Markdown: the text of --help-settings and of docs/SETTINGS.md.
 [[nodiscard]] std::string settingsReference();
 
-/// JSON form of the object `config/current` and of edits.
+/// JSON encoding of the object `config/current` and of edits.
 [[nodiscard]] std::string encodeConfig(const config_document &document);
 [[nodiscard]] result<config_document> decodeConfig(std::string_view json);
 [[nodiscard]] std::string encodeEdits(const std::vector<config_edit> &edits);
--- a/src/settings_reference.cpp
+++ b/src/settings_reference.cpp
@@ -1,4 +1,4 @@
-// Reference of all settings in Markdown, written from the key table; see settings_p.h. docs/SETTINGS.md holds its
+// Generates the Markdown reference of all settings from the key table; see settings_p.h. docs/SETTINGS.md is its
 // output.
 #include "settings_table_p.h"
 
@@ -17,7 +17,7 @@
     return {text.data(), static_cast<std::size_t>(size)};
 }
 
-/// Text of a default value.
+/// Formats a default value.
 struct value_writer {
     std::string operator()(const std::string &value) const { return value; }
     std::string operator()(double value) const { return numberText(value); }
--- a/src/settings_table.cpp
+++ b/src/settings_table.cpp
@@ -1,4 +1,4 @@
-// Conversion of values and overlay rules for the table of settings; see settings_table_p.h.
+// Converts values and checks overlay rules for the table of settings; see settings_table_p.h.
 #include "settings_table_p.h"
 
 #include <arpa/inet.h>
@@ -13,8 +13,10 @@
 namespace
 {
 
-constexpr std::size_t kMostEntryName = 40; ///< inih keeps 49 characters of a section name, type included
-constexpr std::size_t kMostWord = 140; ///< a word is never split over lines, and inih takes lines of 197 characters
+// inih truncates section names, which include the type, to 49 characters.
+constexpr std::size_t kMaxEntryNameLength = 40;
+// A word is never split over lines, and inih accepts lines of up to 197 characters.
+constexpr std::size_t kMaxWordLength = 140;
 
 template <typename number>
 bool parseNumber(std::string_view text, number &value)
@@ -29,7 +31,7 @@
     return std::isfinite(value) && value >= least && value <= most;
 }
 
-/// Reads one value; an error_code instead of an error, because the caller knows the name of the field.
+/// Parses one value. Returns an error_code instead of an error, because only the caller knows the name of the field.
 struct value_reader {
     std::string_view text;
     double least = 0;
@@ -120,7 +122,7 @@
         return isInRange(static_cast<double>(value.size()), least, most) ? std::nullopt : outcome(kOutOfRange);
     }
 
-    /// Adds a version, or all versions of a model.
+    /// Appends the version of this name, or all versions of the model of this name.
     bool appendVersions(std::string_view name, std::vector<version_handle> &versions) const
     {
         if (const auto version = owner.versionByName(name); version.isValid()) {
@@ -136,7 +138,7 @@
     }
 };
 
-/// Rank of a version state: an overlay may only keep or lower it.
+/// @returns the rank of a version state. An overlay may keep or lower the rank, but not raise it.
 int rankOf(version_state state)
 {
     constexpr std::array kRanks{2, 3, 1, 0}; // rolling_out, active, halted, withdrawn
@@ -155,7 +157,7 @@
 template <typename element>
 bool isSubset(const std::vector<element> &base, const std::vector<element> &overlaid)
 {
-    // In order: the cascade of an overlay keeps the order of the base.
+    // Compares in order, since the cascade of an overlay must keep the order of the base.
     auto next = base.begin();
     return std::ranges::all_of(overlaid, [&](const element &wanted) {
         next = std::find(next, base.end(), wanted);
@@ -182,7 +184,7 @@
     }
 }
 
-/// Reaches the field of an entry; weights are inside tuning.
+/// Returns the field of an entry. The objective weights are nested in tuning.
 template <typename entry, typename field>
 auto &fieldOf(entry &target, field member)
 {
@@ -190,7 +192,7 @@
         if constexpr (std::is_same_v<std::remove_const_t<entry>, tuning>)
             return target.weights.*member;
         else
-            return target.name; // No other section has weights.
+            return target.name; // Never used: no other section has weights.
     } else {
         return target.*member;
     }
@@ -251,7 +253,7 @@
     const auto isNameCharacter = [](unsigned char c) {
         return std::isalnum(c) != 0 || c == '.' || c == '_' || c == '-';
     };
-    return !text.empty() && text.size() <= kMostEntryName && std::ranges::all_of(text, isNameCharacter);
+    return !text.empty() && text.size() <= kMaxEntryNameLength && std::ranges::all_of(text, isNameCharacter);
 }
 
 std::vector<std::string_view> splitWords(std::string_view text)
@@ -272,7 +274,7 @@
     const bool isPrintable = std::ranges::all_of(value, [](unsigned char c) { return c >= ' ' && c < 0x7f; });
     std::size_t length = 0;
     for (const auto word : splitWords(value)) {
-        if (word.size() > kMostWord || word.front() == ';' || word.front() == '#')
+        if (word.size() > kMaxWordLength || word.front() == ';' || word.front() == '#')
             return false;
         length += word.size() + 1;
     }
--- a/src/settings_table_p.h
+++ b/src/settings_table_p.h
@@ -1,5 +1,5 @@
-// The one table of settings: every section and key of the published configuration with unit, range, default, overlay
-// rule and the field it fills. The parser, the checks, --help-settings and docs/SETTINGS.md all read this table.
+// Table of settings: every section and key of the published configuration with unit, range, default, overlay rule and
+// target field. The parser, the checks, --help-settings and docs/SETTINGS.md are all based on this table.
 #pragma once
 
 #include "settings_p.h"
@@ -9,12 +9,12 @@
 namespace foxtaildyke
 {
 
-/// What the overlay of a failure domain may do with a key. An overlay narrows the base and never widens it.
+/// How the overlay of a failure domain may change a key. An overlay may restrict the base, but never extend it.
 enum class overlay_rule : std::uint8_t {
-    fixed, ///< must not differ from the base
+    fixed, ///< must be as in the base
     free, ///< may differ: no permission or limit depends on it
     lower, ///< may only be lowered
-    subset, ///< may only leave out entries of the base
+    subset, ///< may only omit entries of the base
     only_false, ///< may only change from true to false
     state, ///< may only move towards withdrawn
     count
@@ -25,7 +25,7 @@
     static constexpr std::array kNames{"fixed", "free", "lower", "subset", "only to false", "only towards withdrawn"};
 };
 
-/// The field that a key fills. Weights are one level deeper, inside tuning.
+/// Pointer to the field that a key sets. The objective weights are nested in tuning.
 template <typename entry>
 using key_field =
     std::variant<std::string entry::*, double entry::*, std::uint32_t entry::*, std::uint16_t entry::*, bool entry::*,
@@ -38,7 +38,7 @@
     std::string_view key;
     key_field<entry> field;
     std::string_view unit;
-    double least = 0; ///< of a number its value, of a text its length, of a list its number of entries
+    double least = 0; ///< lower bound of a number, of the length of a text, or of the number of entries of a list
     double most = 0;
     bool required = false;
     overlay_rule overlay = overlay_rule::fixed;
@@ -179,23 +179,24 @@
 /// @returns whether the text can name an entry: letters, digits, '.', '_' and '-', at most 40 characters.
 [[nodiscard]] bool isEntryName(std::string_view text);
 
-/// Names separated by spaces.
+/// Splits text at white space.
 [[nodiscard]] std::vector<std::string_view> splitWords(std::string_view text);
 
-/// Checks that a value survives formatting and parsing: printable ASCII, single inner spaces, no word that starts with
-/// a comment sign, no word longer than a line.
+/// Checks that formatting and parsing preserve a value: printable ASCII, single spaces between words, no word that
+/// starts with a comment character, no word too long for one line.
 [[nodiscard]] bool isCanonicalValue(std::string_view value);
 
-/// Checks section type, entry name, keys and text form of a whole document; values are not interpreted.
+/// Checks the section types, entry names, keys and text form of all values in a document; does not interpret the
+/// values.
 [[nodiscard]] result<void> checkNames(const ini_document &document);
 
-/// Fills one field of a fleet entry from text.
-/// @param owner fleet with the names of all entries, for references.
+/// Parses text into one field of a fleet entry.
+/// @param owner fleet that contains the names of all entries, to resolve references.
 template <typename entry>
 [[nodiscard]] result<void> assignKey(const key_row<entry> &row, entry &target, std::string_view text,
                                      const fleet &owner);
 
-/// @returns whether the overlay value of a field respects the row's overlay rule.
+/// @returns whether the overlaid value of a field complies with the overlay rule of the row.
 template <typename entry>
 [[nodiscard]] bool isNarrowing(const key_row<entry> &row, const entry &base, const entry &overlaid);
 
