--- a/tests/test_settings.cpp
+++ b/tests/test_settings.cpp
@@ -1,5 +1,5 @@
-// Settings: every typed error of the parser and the checks, and round trips of text, edits and JSON. A wrong document
-// that passes would be published to all hosts.
+// Settings: every typed error of the parser and the checks, and round trips of text, edits and JSON. An invalid
+// document that passes the checks would be published to all hosts.
 #include "settings_p.h"
 
 #include <doctest/doctest.h>
@@ -56,7 +56,7 @@
 session_key = 0123456789abcdef
 )";
 
-config_layers layersOf(std::string_view overlay = "")
+config_layers makeLayers(std::string_view overlay = "")
 {
     config_layers layers;
     layers.base = parseIni(kBase).value();
@@ -65,10 +65,10 @@
     return layers;
 }
 
-/// Checks the base with one key set or, without a value, removed.
-result<void> checkWith(const std::string &section, const std::string &key, std::optional<std::string> value)
+/// Checks the base with one key set, or removed where there is no value.
+result<void> checkWithKey(const std::string &section, const std::string &key, std::optional<std::string> value)
 {
-    auto layers = layersOf();
+    auto layers = makeLayers();
     if (value)
         layers.base[section][key] = *value;
     else
@@ -96,7 +96,7 @@
 
 TEST_CASE("the typed view holds values, references and defaults of the text")
 {
-    const auto built = buildFleet(layersOf(), 7, "east");
+    const auto built = buildFleet(makeLayers(), 7, "east");
     REQUIRE(built.has_value());
     const auto &fleet = built.value();
     CHECK(fleet.generation == 7);
@@ -113,7 +113,7 @@
 
 TEST_CASE("versions of a model are listed oldest first, by their baselines")
 {
-    const auto fleet = buildFleet(layersOf(), 1, "").value();
+    const auto fleet = buildFleet(makeLayers(), 1, "").value();
     const auto &versions = fleet[fleet.modelByName("small")].versions;
     REQUIRE(versions.size() == 3);
     CHECK(fleet[versions.back()].name == "small-2");
@@ -121,23 +121,23 @@
 
 TEST_CASE("text that is not INI gives the line")
 {
-    const auto lineOf = [](std::string_view text) {
+    const auto errorLineOf = [](std::string_view text) {
         const auto parsed = parseIni(text);
         REQUIRE(parsed.has_error());
         CHECK(parsed.error().code == error_code::invalid_syntax);
         return parsed.error().field;
     };
-    CHECK(lineOf("[tuning]\nno equals sign\n") == "line 2");
-    CHECK(lineOf("key = before any section\n") == "line 1");
-    CHECK(lineOf("[tuning\nweight_cost = 1\n") == "line 1");
-    // A second value for a key would silently replace or extend the first.
-    CHECK(lineOf("[tuning]\nweight_cost = 1\nweight_cost = 2\n") == "line 3");
-    // inih drops a section without keys and cuts long lines and names without an error.
-    CHECK(lineOf("[account ada]\n[tuning]\nweight_cost = 1\n") == "line 1");
-    CHECK(lineOf("[tuning]\nsession_key = " + std::string(300, 'x') + "\n") == "line 2");
-    CHECK(lineOf("[account " + std::string(60, 'x') + "]\nburst = 1\n") == "line 1");
-    CHECK(lineOf("[tuning]\nsession_key = a #comment\n") == "line 2");
-    CHECK(lineOf("[tuning]\nsession_key = caf\xc3\xa9\n") == "line 2");
+    CHECK(errorLineOf("[tuning]\nno equals sign\n") == "line 2");
+    CHECK(errorLineOf("key = before any section\n") == "line 1");
+    CHECK(errorLineOf("[tuning\nweight_cost = 1\n") == "line 1");
+    // Without this check, a second value for a key would silently replace or extend the first.
+    CHECK(errorLineOf("[tuning]\nweight_cost = 1\nweight_cost = 2\n") == "line 3");
+    // inih ignores sections without keys and truncates long lines and names without an error.
+    CHECK(errorLineOf("[account ada]\n[tuning]\nweight_cost = 1\n") == "line 1");
+    CHECK(errorLineOf("[tuning]\nsession_key = " + std::string(300, 'x') + "\n") == "line 2");
+    CHECK(errorLineOf("[account " + std::string(60, 'x') + "]\nburst = 1\n") == "line 1");
+    CHECK(errorLineOf("[tuning]\nsession_key = a #comment\n") == "line 2");
+    CHECK(errorLineOf("[tuning]\nsession_key = caf\xc3\xa9\n") == "line 2");
 }
 
 TEST_CASE("comments, blank lines and continued lines are read")
@@ -150,73 +150,74 @@
 
 TEST_CASE("the base is accepted")
 {
-    CHECK(checkLayers(layersOf()).has_value());
+    CHECK(checkLayers(makeLayers()).has_value());
 }
 
 TEST_CASE("unknown sections and keys are refused")
 {
-    checkError(checkWith("router main", "x", "1"), error_code::unknown_section, "router main");
-    checkError(checkWith("tuning extra", "weight_cost", "1"), error_code::unknown_section, "tuning extra");
-    checkError(checkWith("account", "burst", "1"), error_code::unknown_section, "account");
-    checkError(checkWith("account a b", "burst", "1"), error_code::unknown_section, "account a b");
-    checkError(checkWith("account ada", "bursts", "1"), error_code::unknown_key, "account ada/bursts");
+    checkError(checkWithKey("router main", "x", "1"), error_code::unknown_section, "router main");
+    checkError(checkWithKey("tuning extra", "weight_cost", "1"), error_code::unknown_section, "tuning extra");
+    checkError(checkWithKey("account", "burst", "1"), error_code::unknown_section, "account");
+    checkError(checkWithKey("account a b", "burst", "1"), error_code::unknown_section, "account a b");
+    checkError(checkWithKey("account ada", "bursts", "1"), error_code::unknown_key, "account ada/bursts");
 }
 
 TEST_CASE("a missing required key is refused")
 {
-    checkError(checkWith("account ada", "api_key", std::nullopt), error_code::missing_key, "account ada/api_key");
-    checkError(checkWith("kind ask", "cascade", std::nullopt), error_code::missing_key, "kind ask/cascade");
-    checkError(checkWith("tuning", "session_key", std::nullopt), error_code::missing_key, "tuning/session_key");
+    checkError(checkWithKey("account ada", "api_key", std::nullopt), error_code::missing_key, "account ada/api_key");
+    checkError(checkWithKey("kind ask", "cascade", std::nullopt), error_code::missing_key, "kind ask/cascade");
+    checkError(checkWithKey("tuning", "session_key", std::nullopt), error_code::missing_key, "tuning/session_key");
 }
 
 TEST_CASE("values out of range are refused for each type of field")
 {
-    const auto outOfRange = [](const std::string &section, const std::string &key, const std::string &value) {
+    const auto checkOutOfRange = [](const std::string &section, const std::string &key, const std::string &value) {
         CAPTURE(value);
-        checkError(checkWith(section, key, value), error_code::value_out_of_range, section + "/" + key);
+        checkError(checkWithKey(section, key, value), error_code::value_out_of_range, section + "/" + key);
     };
-    outOfRange("account ada", "requests_per_second", "0");
-    outOfRange("account ada", "requests_per_second", "nan");
-    outOfRange("account ada", "requests_per_second", "1e300");
-    outOfRange("account ada", "requests_per_second", "ten");
-    outOfRange("account ada", "burst", "-1");
-    outOfRange("account ada", "burst", "4294967296");
-    outOfRange("account ada", "burst", "3 4");
-    outOfRange("account ada", "burst", "");
-    outOfRange("account ada", "api_key", "short");
-    outOfRange("version small-2", "share_permille", "1001");
-    outOfRange("version small-2", "state", "retired");
-    outOfRange("kind ask", "idempotent", "yes");
-    outOfRange("kind ask", "class", "urgent");
-    outOfRange("kind ask", "deadline_ms", "0");
-    outOfRange("kind ask", "cascade", "small small");
-    outOfRange("kind ask", "cascade", "");
-    outOfRange("host h1", "address", "localhost");
-    outOfRange("host h1", "peer_port", "65536");
-    outOfRange("tuning", "freshness_lease_ms", "900");
-    // Two accounts with one key could not be told apart.
-    outOfRange("account ada", "api_key", "bo-key-22");
-    // A request that must run at most once is never escalated.
-    outOfRange("kind once", "cascade", "small large");
+    checkOutOfRange("account ada", "requests_per_second", "0");
+    checkOutOfRange("account ada", "requests_per_second", "nan");
+    checkOutOfRange("account ada", "requests_per_second", "1e300");
+    checkOutOfRange("account ada", "requests_per_second", "ten");
+    checkOutOfRange("account ada", "burst", "-1");
+    checkOutOfRange("account ada", "burst", "4294967296");
+    checkOutOfRange("account ada", "burst", "3 4");
+    checkOutOfRange("account ada", "burst", "");
+    checkOutOfRange("account ada", "api_key", "short");
+    checkOutOfRange("version small-2", "share_permille", "1001");
+    checkOutOfRange("version small-2", "state", "retired");
+    checkOutOfRange("kind ask", "idempotent", "yes");
+    checkOutOfRange("kind ask", "class", "urgent");
+    checkOutOfRange("kind ask", "deadline_ms", "0");
+    checkOutOfRange("kind ask", "cascade", "small small");
+    checkOutOfRange("kind ask", "cascade", "");
+    checkOutOfRange("host h1", "address", "localhost");
+    checkOutOfRange("host h1", "peer_port", "65536");
+    checkOutOfRange("tuning", "freshness_lease_ms", "900");
+    // Two accounts with the same key could not be distinguished.
+    checkOutOfRange("account ada", "api_key", "bo-key-22");
+    // A request that must run at most once must not be escalated.
+    checkOutOfRange("kind once", "cascade", "small large");
 }
 
 TEST_CASE("unknown references are refused")
 {
-    const auto unknown = [](const std::string &section, const std::string &key, const std::string &value) {
-        checkError(checkWith(section, key, value), error_code::unknown_reference, section + "/" + key);
+    const auto checkUnknownReference = [](const std::string &section, const std::string &key,
+                                          const std::string &value) {
+        checkError(checkWithKey(section, key, value), error_code::unknown_reference, section + "/" + key);
     };
-    unknown("account ada", "grants", "small-1 none");
-    unknown("version small-1", "model", "none");
-    unknown("version small-2", "baseline", "none");
-    unknown("version small-2", "baseline", "large-1");
-    unknown("version small-2", "baseline", "small-2");
-    unknown("kind ask", "cascade", "small none");
+    checkUnknownReference("account ada", "grants", "small-1 none");
+    checkUnknownReference("version small-1", "model", "none");
+    checkUnknownReference("version small-2", "baseline", "none");
+    checkUnknownReference("version small-2", "baseline", "large-1");
+    checkUnknownReference("version small-2", "baseline", "small-2");
+    checkUnknownReference("kind ask", "cascade", "small none");
 }
 
 TEST_CASE("an overlay may narrow the base")
 {
-    const auto layers = layersOf("[account ada]\nrequests_per_second = 5\ngrants = large\n[version small-2]\n"
-                                 "state = halted\n[kind ask]\ncascade = large\n[tuning]\nweight_cost = 9\n");
+    const auto layers = makeLayers("[account ada]\nrequests_per_second = 5\ngrants = large\n[version small-2]\n"
+                                   "state = halted\n[kind ask]\ncascade = large\n[tuning]\nweight_cost = 9\n");
     const auto built = buildFleet(layers, 1, "east");
     REQUIRE(built.has_value());
     CHECK(built.value().accounts[0].requestsPerSecond == doctest::Approx(5));
@@ -226,46 +227,46 @@
 
 TEST_CASE("an overlay that grants, reinstates or raises is refused")
 {
-    const auto contradicts = [](const std::string &overlay, const std::string &field) {
+    const auto checkContradiction = [](const std::string &overlay, const std::string &field) {
         CAPTURE(overlay);
-        checkError(checkLayers(layersOf(overlay)), error_code::overlay_contradicts_base, "east: " + field);
+        checkError(checkLayers(makeLayers(overlay)), error_code::overlay_contradicts_base, "east: " + field);
     };
-    contradicts("[account bo]\ngrants = small-1 large-1\n", "account bo/grants");
-    contradicts("[version small-0]\nstate = active\n", "version small-0/state");
-    contradicts("[version small-2]\nstate = active\n", "version small-2/state");
-    contradicts("[version small-2]\nshare_permille = 101\n", "version small-2/share_permille");
-    contradicts("[account ada]\nrequests_per_second = 11\n", "account ada/requests_per_second");
-    contradicts("[account ada]\nburst = 21\n", "account ada/burst");
-    contradicts("[account ada]\napi_key = another-key\n", "account ada/api_key");
-    contradicts("[kind ask]\ncascade = large small\n", "kind ask/cascade");
-    contradicts("[kind once]\nidempotent = true\n", "kind once/idempotent");
-    contradicts("[kind ask]\ndeadline_ms = 1001\n", "kind ask/deadline_ms");
-    contradicts("[tuning]\nretry_budget_percent = 11\n", "tuning/retry_budget_percent");
-    contradicts("[tuning]\nfreshness_lease_ms = 8000\n", "tuning/freshness_lease_ms");
-    contradicts("[account eve]\napi_key = eve-key-1\nrequests_per_second = 1\n", "account eve");
-    contradicts("[host h2]\nregion = r\n", "host h2");
-    checkError(checkLayers(layersOf("[account ada]\nbursts = 1\n")), error_code::unknown_key,
+    checkContradiction("[account bo]\ngrants = small-1 large-1\n", "account bo/grants");
+    checkContradiction("[version small-0]\nstate = active\n", "version small-0/state");
+    checkContradiction("[version small-2]\nstate = active\n", "version small-2/state");
+    checkContradiction("[version small-2]\nshare_permille = 101\n", "version small-2/share_permille");
+    checkContradiction("[account ada]\nrequests_per_second = 11\n", "account ada/requests_per_second");
+    checkContradiction("[account ada]\nburst = 21\n", "account ada/burst");
+    checkContradiction("[account ada]\napi_key = another-key\n", "account ada/api_key");
+    checkContradiction("[kind ask]\ncascade = large small\n", "kind ask/cascade");
+    checkContradiction("[kind once]\nidempotent = true\n", "kind once/idempotent");
+    checkContradiction("[kind ask]\ndeadline_ms = 1001\n", "kind ask/deadline_ms");
+    checkContradiction("[tuning]\nretry_budget_percent = 11\n", "tuning/retry_budget_percent");
+    checkContradiction("[tuning]\nfreshness_lease_ms = 8000\n", "tuning/freshness_lease_ms");
+    checkContradiction("[account eve]\napi_key = eve-key-1\nrequests_per_second = 1\n", "account eve");
+    checkContradiction("[host h2]\nregion = r\n", "host h2");
+    checkError(checkLayers(makeLayers("[account ada]\nbursts = 1\n")), error_code::unknown_key,
                "east: account ada/bursts");
 }
 
 TEST_CASE("a withdrawn version is never reinstated by edits")
 {
-    const auto refused = [](const config_edit &edit) {
-        const auto applied = applyEdits(layersOf("[version small-1]\nstate = withdrawn\n"), {edit});
+    const auto checkReinstatementRefused = [](const config_edit &edit) {
+        const auto applied = applyEdits(makeLayers("[version small-1]\nstate = withdrawn\n"), {edit});
         REQUIRE(applied.has_error());
         CHECK(applied.error().code == error_code::version_reinstated);
     };
-    refused({"", "version small-0", "state", "active"});
-    refused({"", "version small-0", "state", "halted"});
-    refused({"", "version small-0", "state", std::nullopt});
-    refused({"", "version small-0", "", std::nullopt});
-    refused({"east", "version small-1", "state", std::nullopt});
-    refused({"east", "version small-1", "", std::nullopt});
+    checkReinstatementRefused({"", "version small-0", "state", "active"});
+    checkReinstatementRefused({"", "version small-0", "state", "halted"});
+    checkReinstatementRefused({"", "version small-0", "state", std::nullopt});
+    checkReinstatementRefused({"", "version small-0", "", std::nullopt});
+    checkReinstatementRefused({"east", "version small-1", "state", std::nullopt});
+    checkReinstatementRefused({"east", "version small-1", "", std::nullopt});
 }
 
 TEST_CASE("an overlay never blocks a withdrawal or a halt")
 {
-    const auto layers = layersOf("[version small-2]\nstate = rolling_out\nshare_permille = 10\n");
+    const auto layers = makeLayers("[version small-2]\nstate = rolling_out\nshare_permille = 10\n");
     for (const auto state : {version_state::withdrawn, version_state::halted}) {
         const auto applied = applyEdits(layers, {{"", "version small-2", "state", std::string(nameOf(state))}});
         REQUIRE(applied.has_value());
@@ -278,7 +279,7 @@
 TEST_CASE("edits that can't be written as text are refused")
 {
     for (const std::string value : {"a\nb", " a", "a  b", "; a", "#a", "\x01"}) {
-        const auto applied = applyEdits(layersOf(), {{"", "tuning", "session_key", value}});
+        const auto applied = applyEdits(makeLayers(), {{"", "tuning", "session_key", value}});
         REQUIRE(applied.has_error());
         CHECK(applied.error().code == error_code::invalid_syntax);
         CHECK(applied.error().field == "tuning/session_key");
@@ -288,9 +289,9 @@
 namespace
 {
 
-/// Runs a property with the same seed each time, so that a failure can be repeated.
+/// Checks a property with a fixed seed, so that a failure can be reproduced.
 template <typename property>
-bool holds(property &&checked)
+bool propertyHolds(property &&checked)
 {
     setenv("RC_PARAMS", "seed=20261203 max_success=200", 0);
     return rc::check(std::forward<property>(checked));
@@ -302,7 +303,7 @@
     return *rc::gen::nonEmpty(rc::gen::container<std::string>(letter));
 }
 
-/// Documents with values of zero to forty words, so that long values are wrapped.
+/// Generates documents with values of zero to forty words, so that long values are wrapped.
 ini_document arbitraryDocument()
 {
     ini_document document;
@@ -337,7 +338,7 @@
 
 TEST_CASE("property: parsing a formatted document gives the same document")
 {
-    CHECK(holds([] {
+    CHECK(propertyHolds([] {
         const auto document = arbitraryDocument();
         const auto parsed = parseIni(formatIni(document));
         RC_ASSERT(parsed.has_value());
@@ -347,7 +348,7 @@
 
 TEST_CASE("property: applying a difference gives the other layers")
 {
-    CHECK(holds([] {
+    CHECK(propertyHolds([] {
         const auto from = arbitraryLayers();
         const auto to = arbitraryLayers();
         const auto applied = applyEdits(from, diffLayers(from, to));
@@ -360,7 +361,7 @@
 
 TEST_CASE("property: JSON of a configuration keeps every field")
 {
-    CHECK(holds([] {
+    CHECK(propertyHolds([] {
         config_document document;
         document.generation = *rc::gen::arbitrary<std::uint32_t>();
         document.layers = arbitraryLayers();
