--- a/src/command_line.cpp
+++ b/src/command_line.cpp
@@ -1,4 +1,4 @@
-// Command line that all binaries share; see process_settings_p.h.
+// Command line parsing shared by all binaries; see process_settings_p.h.
 #include "process_settings_p.h"
 
 #include <charconv>
@@ -53,7 +53,7 @@
     return options;
 }
 
-result<void> addSections(const program_spec &program, const ini_sections &sections, command_line &line)
+result<void> addFileOptions(const program_spec &program, const ini_sections &sections, command_line &line)
 {
     for (const auto &[section, keys] : sections)
         for (const auto &[name, value] : keys) {
@@ -93,10 +93,10 @@
     const auto specs = allOptions(program);
     const auto options = toLongOptions(specs);
     command_line line;
-    optind = 0; // glibc: starts over, so that a process may parse more than one command line
+    optind = 0; // glibc: resets getopt_long(), so that a process can parse more than one command line
     int index = 0;
-    for (int found = 0; (found = getopt_long(argc, argv, "", options.data(), &index)) != -1;) {
-        if (found != 0)
+    for (int status = 0; (status = getopt_long(argc, argv, "", options.data(), &index)) != -1;) {
+        if (status != 0)
             return usageError(program);
         line.options[specs[static_cast<std::size_t>(index)].name] = optarg ? optarg : "1";
     }
@@ -124,7 +124,7 @@
         auto sections = readIniFile(line.configPath);
         if (sections.has_error())
             return sections.error();
-        auto added = addSections(program, sections.value(), line);
+        auto added = addFileOptions(program, sections.value(), line);
         if (added.has_error())
             return added;
     }
--- a/src/config_holder.cpp
+++ b/src/config_holder.cpp
@@ -1,4 +1,4 @@
-// The configuration document that a host holds; see config_holder_p.h.
+// The configuration document in force on this host; see config_holder_p.h.
 #include "config_holder_p.h"
 
 namespace foxtaildyke
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// A change travels as a document that has nothing but this change in its history.
+/// Encodes a change for transfer as a document whose history contains only this change.
 std::string encodeChange(const config_change &change)
 {
     config_document document;
@@ -26,7 +26,7 @@
     return std::move(document.value().history.front());
 }
 
-/// Applies a change to the document that it was made for.
+/// Applies a change to the document of the preceding generation; changes that it already contains are skipped.
 result<void> applyChange(config_document &document, config_change change)
 {
     if (change.generation <= document.generation)
--- a/src/config_holder_p.h
+++ b/src/config_holder_p.h
@@ -1,4 +1,4 @@
-// The configuration document that a host holds, and its form on the way to hosts that lack it. Pure.
+// The configuration document in force on this host, and its encoding for hosts that lack it. Performs no I/O.
 #pragma once
 
 #include "relay_p.h"
@@ -9,22 +9,24 @@
 class config_holder
 {
 public:
-    /// @param failureDomain whose overlay this host uses.
+    /// @param failureDomain failure domain whose overlay applies to this host.
     explicit config_holder(std::string failureDomain);
 
-    /// Takes a newer document or the changes after the one held.
-    /// @returns whether the document held is newer than before; or the error that made it unusable.
+    /// Applies a newer document, or the changes that follow the current document.
+    /// @returns whether the current document was replaced by a newer one, or the error that made the content unusable.
     [[nodiscard]] result<bool> take(const config_content &content);
 
-    /// @returns what a host that holds this generation lacks.
+    /// @returns the changes after this generation; the whole document for generation 0 or one older than the history;
+    /// or nothing where this generation is not older than the current document.
     [[nodiscard]] config_content contentAfter(generation_number generation) const;
 
     [[nodiscard]] generation_number generation() const { return m_document.generation; }
 
-    /// @returns the view of this host's failure domain; null before the first configuration.
+    /// @returns the configuration with the overlay of this host's failure domain; null before the first configuration.
     [[nodiscard]] const fleet_ptr &view() const { return m_view; }
 
-    /// @returns the view without an overlay: members and their order have to be the same on all hosts.
+    /// @returns the configuration without an overlay. Relay members and their order come from it, since they
+    /// must be the same on all hosts.
     [[nodiscard]] const fleet_ptr &base() const { return m_base; }
 
 private:
--- a/src/process_settings.cpp
+++ b/src/process_settings.cpp
@@ -1,4 +1,4 @@
-// Settings of a process; see process_settings_p.h.
+// Reads and checks the settings of a process; see process_settings_p.h.
 #include "process_settings_p.h"
 
 #include <fstream>
