--- a/src/admin_api.cpp
+++ b/src/admin_api.cpp
@@ -15,8 +15,8 @@
 using std::chrono::milliseconds;
 
 constexpr std::string_view kBearer = "Bearer ";
-constexpr std::size_t kMostChangeId = 128;
-constexpr std::size_t kLeastKey = 16;
+constexpr std::size_t kMaxChangeIdLength = 128;
+constexpr std::size_t kMinKeyLength = 16;
 constexpr std::string_view kOperatorPrefix = "operator ";
 
 bool equalKeys(std::string_view left, std::string_view right)
@@ -24,7 +24,7 @@
     return left.size() == right.size() && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
-std::uint64_t numberOf(const std::map<std::string, std::string> &query, const std::string &name)
+std::uint64_t parseNumber(const std::map<std::string, std::string> &query, const std::string &name)
 {
     const auto found = query.find(name);
     std::uint64_t value = 0;
@@ -33,10 +33,10 @@
     return value;
 }
 
-milliseconds waitOf(std::uint64_t wanted)
+milliseconds clampWait(std::uint64_t requested)
 {
-    const auto most = static_cast<std::uint64_t>(admin_api::kLongestWait.count());
-    return milliseconds(static_cast<std::int64_t>(std::min(wanted, most)));
+    const auto maxWait = static_cast<std::uint64_t>(admin_api::kLongestWait.count());
+    return milliseconds(static_cast<std::int64_t>(std::min(requested, maxWait)));
 }
 
 result<operator_account> readOperator(const std::string &section, const std::map<std::string, std::string> &keys)
@@ -49,7 +49,7 @@
         const auto role = valueOf<operator_role>(value);
         if (key != "key" && key != "role")
             return error{error_code::unknown_key, field(key)};
-        if (key == "role" ? !role : value.size() < kLeastKey)
+        if (key == "role" ? !role : value.size() < kMinKeyLength)
             return error{error_code::value_out_of_range, field(key)};
         if (key == "role")
             account.role = *role;
@@ -103,7 +103,7 @@
         {"GET", "/v1/status", operator_role::viewer, &admin_api::status},
         {"GET", "/v1/pending", operator_role::viewer, &admin_api::pending},
         {"GET", "/v1/history", operator_role::viewer, &admin_api::history},
-        {"GET", "/v1/acceptance", operator_role::viewer, &admin_api::watch},
+        {"GET", "/v1/acceptance", operator_role::viewer, &admin_api::awaitAcceptance},
     };
     return s_routes;
 }
@@ -208,10 +208,10 @@
 {
     const auto body = parseObject(open.request->body).value();
     const auto changeId = memberOf<std::string>(body, "change_id").value_or("");
-    if (changeId.empty() || changeId.size() > kMostChangeId)
+    if (changeId.empty() || changeId.size() > kMaxChangeIdLength)
         return open.done(errorReply({error_code::protocol_violation, "change_id"}));
     const auto seen = memberOf<generation_number>(body, "generation");
-    const auto wait = waitOf(memberOf<std::uint64_t>(body, "wait_ms").value_or(0));
+    const auto wait = clampWait(memberOf<std::uint64_t>(body, "wait_ms").value_or(0));
     change_request request{changeId, open.author->name, m_unixMs, 0, {}};
     m_control.read([this, request, seen, wait, source = std::move(source),
                     done = open.done](const result<config_document> &current) mutable {
@@ -219,7 +219,7 @@
             return done(errorReply(current.error()));
         const auto &history = current.value().history;
         const bool isKnown = std::ranges::find(history, request.changeId, &config_change::changeId) != history.end();
-        // A change that was made already must not be derived again from what it made.
+        // The edits of a published change must not be derived a second time, from the configuration it produced.
         auto edits = isKnown ? result<std::vector<config_edit>>(std::vector<config_edit>{}) : source(current.value());
         if (edits.has_error())
             return done(errorReply(edits.error()));
@@ -294,9 +294,9 @@
         for (const auto &change : current.value().history) {
             if (change.generation <= m_control.changes().accepted())
                 continue;
-            auto shown = shownChange(change);
-            shown["unacknowledged_hosts"] = m_control.changes().unacknowledged(change.generation);
-            list.push_back(std::move(shown));
+            auto encoded = shownChange(change);
+            encoded["unacknowledged_hosts"] = m_control.changes().unacknowledged(change.generation);
+            list.push_back(std::move(encoded));
         }
         done(jsonReply(200, {{"pending", list}}));
     });
@@ -314,11 +314,11 @@
     });
 }
 
-/// Waits for the acceptance of a generation: GET /v1/acceptance?generation=N&wait_ms=N.
-void admin_api::watch(const call &open)
+/// Handles GET /v1/acceptance?generation=N&wait_ms=N: responds when the generation is accepted or the wait is over.
+void admin_api::awaitAcceptance(const call &open)
 {
-    const auto wait = waitOf(numberOf(open.request->query, "wait_ms"));
-    const auto generation = numberOf(open.request->query, "generation");
+    const auto wait = clampWait(parseNumber(open.request->query, "wait_ms"));
+    const auto generation = parseNumber(open.request->query, "generation");
     m_control.read([this, wait, generation, done = open.done](const result<config_document> &current) {
         const bool isKnown = generation <= m_control.document().generation;
         if (!isKnown && current.has_error())
--- a/src/admin_api_p.h
+++ b/src/admin_api_p.h
@@ -1,5 +1,5 @@
-// Administration API of the control process, without sockets: authentication of operators, routes, JSON, and waiting
-// for acceptance. tools/control_main.cpp serves it over HTTP.
+// Administration API of the control process, independent of the transport: operator authentication, request routing,
+// JSON encoding, and waiting for the acceptance of a generation. tools/control_main.cpp serves it over HTTP.
 #pragma once
 
 #include "controller_p.h"
@@ -9,10 +9,10 @@
 namespace foxtaildyke
 {
 
-/// What an operator may do; each role includes those before it.
+/// Permissions of an operator; each role includes those before it.
 enum class operator_role : std::uint8_t {
-    viewer, ///< read, check and compare
-    editor, ///< change
+    viewer, ///< may read, validate and diff configurations
+    editor, ///< may publish changes
     count
 };
 
@@ -22,20 +22,20 @@
 };
 
 struct operator_account {
-    std::string name; ///< author of its changes
-    std::string key; ///< bearer key
+    std::string name; ///< recorded as the author of changes
+    std::string key; ///< bearer token
     operator_role role = operator_role::viewer;
 };
 
-/// Takes the sections `[operator NAME]` with key= and role= out of a settings file.
-/// @returns the operators, or the first error with the field as "section/key".
+/// Removes the sections `[operator NAME]` with key= and role= from a settings file and parses them.
+/// @returns the operators, or the first error, whose field is "section/key".
 [[nodiscard]] result<std::vector<operator_account>> takeOperators(ini_document &sections);
 
 struct admin_request {
     std::string method; ///< "GET" or "POST"
     std::string path;
     std::map<std::string, std::string> query;
-    std::string authorization; ///< value of the header
+    std::string authorization; ///< value of the Authorization header
     std::string body;
 };
 
@@ -50,14 +50,14 @@
     using done_callback = std::function<void(admin_reply)>;
 
     static constexpr std::chrono::milliseconds kLongestWait{30000};
-    static constexpr std::size_t kMostWaiting = 256; ///< callers that wait for acceptance at once
+    static constexpr std::size_t kMostWaiting = 256; ///< requests that wait for acceptance at the same time
 
     admin_api(controller &control, std::vector<operator_account> operators, controller::event_sink onEvent);
 
-    /// Answers one request; `done` runs once, at once or after a wait.
+    /// Handles one request; `done` runs exactly once, before the function returns or later.
     void handle(const admin_request &request, done_callback done);
 
-    /// Answers callers whose generation has been accepted or whose time is over.
+    /// Responds to waiting requests whose generation has been accepted or whose wait has timed out.
     void tick(instant now, std::int64_t unixMs);
 
     [[nodiscard]] std::size_t waiting() const { return m_waiting.size(); }
@@ -86,9 +86,9 @@
     void status(const call &open);
     void pending(const call &open);
     void history(const call &open);
-    void watch(const call &open);
+    void awaitAcceptance(const call &open);
 
-    /// Publishes edits that are derived from the present configuration.
+    /// Derives the edits of a change from the current configuration.
     using edit_source = std::function<result<std::vector<config_edit>>(const config_document &)>;
     void change(const call &open, edit_source source);
     void answerAccepted(generation_number generation, std::chrono::milliseconds wait, done_callback done);
@@ -102,7 +102,7 @@
     std::list<waiter> m_waiting;
 };
 
-/// @returns the HTTP status that an error stands for.
+/// @returns the HTTP status for an error code.
 [[nodiscard]] int httpStatusOf(error_code code);
 
 } // namespace foxtaildyke
--- a/src/admin_json.cpp
+++ b/src/admin_json.cpp
@@ -17,7 +17,7 @@
     return edit.key == "api_key" || edit.key == "session_key";
 }
 
-error inFile(const std::string &file, const error &failure)
+error prefixFile(const std::string &file, const error &failure)
 {
     return {failure.code, file + ": " + failure.field};
 }
@@ -40,7 +40,7 @@
     sent_settings sent;
     auto document = parseIni(*base);
     if (document.has_error())
-        return inFile("base", document.error());
+        return prefixFile("base", document.error());
     sent.layers.base = std::move(document.value());
     sent.withHosts = memberOf<bool>(body, "hosts").value_or(false);
     sent.generation = memberOf<generation_number>(body, "generation");
@@ -52,7 +52,7 @@
     for (const auto &[failureDomain, text] : overlays.value_or(std::map<std::string, std::string>{})) {
         auto overlay = parseIni(text);
         if (overlay.has_error())
-            return inFile(failureDomain, overlay.error());
+            return prefixFile(failureDomain, overlay.error());
         if (!overlay.value().empty())
             sent.layers.overlays[failureDomain] = std::move(overlay.value());
     }
@@ -90,10 +90,10 @@
 {
     auto list = json::array();
     for (const auto &edit : edits) {
-        json shown{{"layer", edit.layer}, {"section", edit.section}, {"key", edit.key}};
+        json encoded{{"layer", edit.layer}, {"section", edit.section}, {"key", edit.key}};
         if (edit.value)
-            shown["value"] = isSecret(edit) ? kHiddenValue : *edit.value;
-        list.push_back(std::move(shown));
+            encoded["value"] = isSecret(edit) ? kHiddenValue : *edit.value;
+        list.push_back(std::move(encoded));
     }
     return list;
 }
--- a/src/admin_json_p.h
+++ b/src/admin_json_p.h
@@ -1,4 +1,4 @@
-// JSON of the administration API: bodies of requests and answers. See admin_api_p.h.
+// JSON of the administration API: request and response bodies. See admin_api_p.h.
 #pragma once
 
 #include "admin_api_p.h"
@@ -8,18 +8,18 @@
 namespace foxtaildyke
 {
 
-/// Settings files as an operator sends them: {"base": TEXT, "overlays": {FAILURE-DOMAIN: TEXT}, "hosts": BOOL,
-/// "generation": N}.
+/// Settings files in the body of an operator's request: {"base": TEXT, "overlays": {FAILURE-DOMAIN: TEXT}, "hosts":
+/// BOOL, "generation": N}.
 struct sent_settings {
     config_layers layers;
-    bool withHosts = false; ///< otherwise the registered hosts stay as they are
-    std::optional<generation_number> generation; ///< on which the files are based; nothing: the present one
+    bool withHosts = false; ///< the files replace the registered hosts too; otherwise those are kept
+    std::optional<generation_number> generation; ///< that the files are based on; if absent, the current one
 };
 
-/// Parses a JSON object. @returns protocol_violation where the text is none.
+/// Parses a JSON object. @returns protocol_violation if the text is not a JSON object.
 [[nodiscard]] result<nlohmann::json> parseObject(std::string_view text);
 
-/// @returns the member, or nothing where it is missing or of another type.
+/// @returns the member, or nullopt if it is missing or has another type.
 template <typename value_type>
 [[nodiscard]] std::optional<value_type> memberOf(const nlohmann::json &object, const char *name)
 {
@@ -32,13 +32,13 @@
 
 [[nodiscard]] result<sent_settings> readSettings(const nlohmann::json &body);
 
-/// @returns the layers that result if an operator's files are applied to the present configuration.
+/// @returns the layers that result from applying an operator's files to the current configuration.
 [[nodiscard]] config_layers mergeHosts(const sent_settings &sent, const config_document &current);
 
 [[nodiscard]] admin_reply jsonReply(int status, const nlohmann::json &body);
 [[nodiscard]] admin_reply errorReply(const error &failure);
 
-/// @returns edits for display: keys of accounts and sessions are replaced.
+/// @returns edits for display, with API keys and session keys masked.
 [[nodiscard]] nlohmann::json shownEdits(const std::vector<config_edit> &edits);
 [[nodiscard]] nlohmann::json shownChange(const config_change &change);
 [[nodiscard]] nlohmann::json shownStatus(const host_status &status);
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -7,11 +7,11 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kShortestLeasePoll{2000};
-constexpr std::chrono::milliseconds kLongestLeasePoll{60000};
-constexpr std::size_t kMostDoublings = 5;
+constexpr std::chrono::milliseconds kMinLeasePollPeriod{2000};
+constexpr std::chrono::milliseconds kMaxLeasePollPeriod{60000};
+constexpr std::size_t kMaxPollDoublings = 5;
 
-std::vector<config_edit> additionOf(const host_config &host)
+std::vector<config_edit> hostAdditionEdits(const host_config &host)
 {
     const auto section = "host " + host.name;
     return {{"", section, "region", host.region},
@@ -31,7 +31,7 @@
     std::erase_if(m_missingSince, [&](const auto &missing) {
         return isListed(missing.first) || !config.hostByName(missing.first).isValid();
     });
-    // A list without any entry host is a fault of the list, or one that doesn't know them.
+    // An empty list is either faulty or comes from a platform that doesn't list entry hosts.
     for (const auto &host : config.hosts) {
         if (listed.empty() || isListed(host.name))
             continue;
@@ -41,7 +41,7 @@
     }
     for (const auto &entry : listed) {
         if (entry.state == host_state::live && !config.hostByName(entry.host.name).isValid())
-            return additionOf(entry.host);
+            return hostAdditionEdits(entry.host);
     }
     return {};
 }
@@ -70,7 +70,7 @@
     m_unixMs = unixMs;
     m_publisher.tick(now);
     m_lease.tick(now, leasePollPeriod());
-    followAcceptance();
+    updateAcceptance();
     if (now >= m_nextStatus && !m_statusOpen)
         pollStatus();
     if (now >= m_nextConfig && !m_configOpen && (isHolder() || m_document.generation == 0))
@@ -80,7 +80,7 @@
         emit({m_wasHolder ? "lease_taken" : "lease_lost", {}, {}, "token " + std::to_string(m_lease.token()), 0});
     }
     if (isHolder())
-        actAsHolder();
+        runHolderTasks();
 }
 
 void controller::publish(change_request request, config_publisher::published_done done)
@@ -109,13 +109,14 @@
     m_upstreams = std::move(upstreams);
 }
 
-/// Processes look at the lease less often the later their host comes in the list, so that the reads of the store don't
-/// grow with the number of hosts.
+/// The poll period doubles with the host's position in the list, so that the rate of store reads doesn't grow with the
+/// number of hosts.
 std::chrono::milliseconds controller::leasePollPeriod() const
 {
     const auto host = m_fleet.hostByName(m_host);
-    const auto rank = host.isValid() ? std::min<std::size_t>(host.index, kMostDoublings) : kMostDoublings;
-    return m_fleet.hosts.empty() ? kShortestLeasePoll : std::min(kShortestLeasePoll * (1 << rank), kLongestLeasePoll);
+    const auto rank = host.isValid() ? std::min<std::size_t>(host.index, kMaxPollDoublings) : kMaxPollDoublings;
+    return m_fleet.hosts.empty() ? kMinLeasePollPeriod
+                                 : std::min(kMinLeasePollPeriod * (1 << rank), kMaxLeasePollPeriod);
 }
 
 void controller::pollStatus()
@@ -134,9 +135,9 @@
     });
 }
 
-/// A status is dated by the first tick after its receipt: a process that was paused in between must not count the time
-/// before the acknowledgement.
-void controller::followAcceptance()
+/// A status is timestamped with the first tick after its receipt: a process that was paused in between must not count
+/// time before the acknowledgement.
+void controller::updateAcceptance()
 {
     const auto before = m_acceptance.accepted();
     if (m_statusIsNew && m_status)
@@ -171,24 +172,24 @@
     m_acceptance.recordConfiguration(document);
 }
 
-void controller::actAsHolder()
+void controller::runHolderTasks()
 {
     if (m_document.generation == 0)
         return;
-    if (mayChange())
-        writeHalts();
-    if (mayChange() && m_hostsKnown)
+    if (mayPublishOwn())
+        publishHalts();
+    if (mayPublishOwn() && m_hostsKnown)
         registerHosts();
     if (m_hostsKnown)
         orderLoads();
 }
 
-bool controller::mayChange() const
+bool controller::mayPublishOwn() const
 {
     return !m_ownChangeOpen && m_now >= m_nextOwnChange;
 }
 
-void controller::writeHalts()
+void controller::publishHalts()
 {
     if (!m_status)
         return;
@@ -204,7 +205,8 @@
         publishOwn("halt", std::move(edits), false);
 }
 
-/// The next change of hosts waits for a majority of the present set, so that majorities of successive sets intersect.
+/// The next change of hosts waits until a majority of the current set has acknowledged, so that majorities of
+/// successive sets intersect.
 void controller::registerHosts()
 {
     if (!m_fleet.hosts.empty() && !m_acceptance.hasMajority(m_document.generation))
@@ -217,7 +219,7 @@
           {},
           edits.front().section,
           m_document.generation});
-    // A paused process that has lost the lease must not add a change of hosts on top of its successor's.
+    // A process that lost the lease while it was paused must not publish a change of hosts after its successor's.
     publishOwn("hosts", std::move(edits), true);
 }
 
@@ -243,8 +245,8 @@
     const auto key = target.name + '/' + version.name;
     auto &state = m_orders[key];
     const auto open = std::ranges::count_if(m_orders, [](const auto &entry) { return entry.second.open; });
-    const bool isEarly = state.sentAt != instant{} && m_now - state.sentAt < kOrderRetry;
-    if (state.open || isEarly || static_cast<std::size_t>(open) >= kMostOpenOrders)
+    const bool isTooEarly = state.sentAt != instant{} && m_now - state.sentAt < kOrderRetry;
+    if (state.open || isTooEarly || static_cast<std::size_t>(open) >= kMostOpenOrders)
         return;
     state = {m_now, true};
     const engine_order order{target, model.name, version.name, m_lease.token()};
@@ -255,7 +257,7 @@
     });
 }
 
-/// Loading twice does no harm, so a failed order is sent again after kOrderRetry until the host list shows the version.
+/// Loading is idempotent, so a failed order is retried every kOrderRetry until the host list shows the version.
 void controller::onLoaded(const std::string &key, const engine_order &order,
                           const result<std::vector<std::string>> &loaded)
 {
@@ -266,8 +268,9 @@
             m_lease.giveUp();
         return;
     }
-    const bool isRead = loaded.has_value() && std::ranges::find(loaded.value(), order.version) != loaded.value().end();
-    emit({isRead ? "load_confirmed" : "load_failed", order.version, order.target.name, {}, m_document.generation});
+    const bool isConfirmed =
+        loaded.has_value() && std::ranges::find(loaded.value(), order.version) != loaded.value().end();
+    emit({isConfirmed ? "load_confirmed" : "load_failed", order.version, order.target.name, {}, m_document.generation});
 }
 
 void controller::publishOwn(const std::string &reason, std::vector<config_edit> edits, bool mustBeNewest)
@@ -289,7 +292,7 @@
             emit({"change_published", {}, {}, author, published.value().generation});
         if (published.has_value())
             return;
-        // Read what is current, and derive the change again if it is still needed.
+        // Read the current configuration; the change is derived from it again if it is still needed.
         m_nextConfig = m_now;
         m_nextOwnChange = m_now + kReadPeriod;
     });
--- a/src/controller_lease.cpp
+++ b/src/controller_lease.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr const char *kLeaseKey = "lease/controller";
-constexpr std::chrono::milliseconds kRetryAfter{500}; ///< leaves three tries before the holder stops acting
+constexpr std::chrono::milliseconds kRetryDelay{500}; ///< allows three attempts before the holder must stop acting
 
 } // namespace
 
@@ -45,15 +45,15 @@
     *m_alive = false;
 }
 
-void controller_lease::tick(instant now, std::chrono::milliseconds pollEvery)
+void controller_lease::tick(instant now, std::chrono::milliseconds pollPeriod)
 {
     m_now = now;
     if (m_seenVersion && !m_seenAt)
         m_seenAt = now;
-    if (m_busy || now < m_nextAt)
+    if (m_isCallOpen || now < m_nextCallAt)
         return;
     const bool isHolder = mayAct(now);
-    m_nextAt = now + (isHolder ? kRenewEvery : pollEvery);
+    m_nextCallAt = now + (isHolder ? kRenewEvery : pollPeriod);
     if (isHolder && m_seenVersion)
         return writeLease({m_holder, m_written.token, m_written.renewal + 1});
     readLease();
@@ -61,23 +61,23 @@
 
 bool controller_lease::mayOrderUnfenced(instant now) const
 {
-    return mayAct(now) && now - m_takenAt >= kPeriod + kDrift;
+    return mayAct(now) && now - m_acquiredAt >= kPeriod + kDrift;
 }
 
 void controller_lease::giveUp()
 {
     m_actUntil = {};
     m_seenVersion.reset();
-    ++m_written.token; // The next term needs a higher one, and the record of this term must not be taken for it.
+    ++m_written.token; // The next term needs a higher token, and this term's record must not be mistaken for it.
 }
 
 void controller_lease::readLease()
 {
-    m_busy = true;
+    m_isCallOpen = true;
     m_store.read(kLeaseKey, [this, alive = m_alive](const result<stored_object> &read) {
         if (!*alive)
             return;
-        m_busy = false;
+        m_isCallOpen = false;
         onRead(read);
     });
 }
@@ -90,20 +90,20 @@
         return;
     }
     const auto record = decodeLease(read.value().body);
-    // A damaged record is replaced like one whose holder is gone.
+    // A corrupt record is replaced like one whose holder has stopped renewing it.
     onRecord(record.has_value() ? record.value() : m_seen, read.value().version);
 }
 
 void controller_lease::onRecord(const lease_record &record, object_version version)
 {
     m_seen = record;
-    onSeen(version);
+    setSeenVersion(version);
     const bool isOwn = version != 0 && record.holder == m_holder;
-    // The answer of the write was lost, but it took effect.
+    // The write took effect although its response was lost.
     if (isOwn && record.renewal == m_written.renewal && record.token == m_written.token)
-        hold();
+        extendTerm();
     if (isOwn && mayAct(m_now)) {
-        m_nextAt = m_now;
+        m_nextCallAt = m_now;
         return;
     }
     const bool isAbandoned = m_seenAt && m_now - *m_seenAt >= kPeriod;
@@ -111,7 +111,7 @@
         writeLease({m_holder, std::max(record.token, m_written.token) + 1, 1});
 }
 
-void controller_lease::onSeen(object_version version)
+void controller_lease::setSeenVersion(object_version version)
 {
     if (m_seenVersion == version)
         return;
@@ -121,14 +121,14 @@
 
 void controller_lease::writeLease(lease_record record)
 {
-    m_busy = true;
+    m_isCallOpen = true;
     m_written = std::move(record);
     m_writeStarted = m_now;
     m_store.write(kLeaseKey, encodeLease(m_written), *m_seenVersion,
                   [this, alive = m_alive](const result<object_version> &written) {
                       if (!*alive)
                           return;
-                      m_busy = false;
+                      m_isCallOpen = false;
                       onWritten(written);
                   });
 }
@@ -136,25 +136,26 @@
 void controller_lease::onWritten(const result<object_version> &written)
 {
     if (written.has_value()) {
-        onSeen(written.value());
+        setSeenVersion(written.value());
         m_seen = m_written;
-        return hold();
+        return extendTerm();
     }
     if (written.error().code == error_code::conflict) {
-        // Somebody else holds it, or an earlier write of this process took effect; the next read tells.
+        // Either another process holds the lease or an earlier write of this process took effect; the next read shows
+        // which.
         m_seenVersion.reset();
-        m_nextAt = m_now;
+        m_nextCallAt = m_now;
         m_actUntil = std::min(m_actUntil, m_now);
         return;
     }
-    m_nextAt = m_now + kRetryAfter;
+    m_nextCallAt = m_now + kRetryDelay;
     m_seenVersion.reset();
 }
 
-void controller_lease::hold()
+void controller_lease::extendTerm()
 {
     if (m_written.renewal == 1)
-        m_takenAt = m_writeStarted;
+        m_acquiredAt = m_writeStarted;
     m_actUntil = m_writeStarted + kActFor;
 }
 
--- a/src/controller_lease_p.h
+++ b/src/controller_lease_p.h
@@ -1,5 +1,6 @@
-// Controller lease: at most one control process acts for the deployment, as far as clocks allow; where they don't, the
-// fencing token tells old orders from new ones. Pure over the object_store port. Section 5 of docs/design.md.
+// Controller lease: at most one control process acts for the deployment as long as clock drift stays within bounds;
+// beyond that, the fencing token distinguishes old orders from new ones. All I/O goes through the object_store port.
+// See section 5 of docs/design.md.
 #pragma once
 
 #include "object_store_p.h"
@@ -9,11 +10,11 @@
 namespace foxtaildyke
 {
 
-/// The object `lease/controller`.
+/// Content of the object `lease/controller`.
 struct lease_record {
-    std::string holder; ///< host name and a number unique to the process
-    std::uint64_t token = 0; ///< raised by each new holder
-    std::uint64_t renewal = 0; ///< raised by each write of a holder
+    std::string holder; ///< host name and a process-unique number
+    std::uint64_t token = 0; ///< incremented by each new holder
+    std::uint64_t renewal = 0; ///< incremented by each write of the holder
 };
 
 [[nodiscard]] std::string encodeLease(const lease_record &record);
@@ -24,27 +25,28 @@
 public:
     static constexpr std::chrono::milliseconds kPeriod{6000};
     static constexpr std::chrono::milliseconds kRenewEvery = kPeriod / 3;
-    static constexpr std::chrono::milliseconds kActFor = kPeriod - kPeriod / 3; ///< after a renewal began
-    static constexpr std::chrono::milliseconds kDrift = kPeriod / 10; ///< clocks that run at different rates
+    static constexpr std::chrono::milliseconds kActFor =
+        kPeriod - kPeriod / 3; ///< measured from the start of a renewal
+    static constexpr std::chrono::milliseconds kDrift = kPeriod / 10; ///< margin for clocks that run at different rates
 
-    /// @param holder unique to this process: a restarted process must not take its predecessor's lease for its own.
+    /// @param holder unique to this process: a restarted process must not mistake its predecessor's lease for its own.
     controller_lease(object_store &store, std::string holder);
     ~controller_lease();
     controller_lease(const controller_lease &) = delete;
     controller_lease &operator=(const controller_lease &) = delete;
 
-    /// Reads, renews or takes the lease when due.
-    /// @param pollEvery how often a process that does not hold the lease looks at it.
-    void tick(instant now, std::chrono::milliseconds pollEvery);
+    /// Reads, renews or acquires the lease when due.
+    /// @param pollEvery period at which a process that does not hold the lease reads it.
+    void tick(instant now, std::chrono::milliseconds pollPeriod);
 
     /// @returns whether this process may act for the deployment.
     [[nodiscard]] bool mayAct(instant now) const { return now < m_actUntil; }
 
-    /// @returns whether orders may go to engines that ignore the fencing token: a whole period has passed in which a
-    /// paused predecessor has run into its own limit.
+    /// @returns whether orders may go to engines that ignore the fencing token: a whole lease period has passed since
+    /// the lease was acquired, so that the term of a paused predecessor has expired.
     [[nodiscard]] bool mayOrderUnfenced(instant now) const;
 
-    /// Stops acting: an engine has seen a higher token.
+    /// Ends the term because an engine has seen a higher token.
     void giveUp();
 
     /// @returns the fencing token; meaningful while mayAct().
@@ -54,26 +56,26 @@
     void readLease();
     void onRead(const result<stored_object> &read);
     void onRecord(const lease_record &record, object_version version);
-    void onSeen(object_version version);
+    void setSeenVersion(object_version version);
     void writeLease(lease_record record);
     void onWritten(const result<object_version> &written);
-    void hold();
+    void extendTerm();
 
     object_store &m_store;
     std::string m_holder;
     instant m_now{};
-    instant m_nextAt{}; ///< next read or renewal
-    bool m_busy = false; ///< a call to the store is open
+    instant m_nextCallAt{}; ///< time of the next read or renewal
+    bool m_isCallOpen = false; ///< a call to the store is in progress
 
-    std::optional<object_version> m_seenVersion; ///< of the last read or write
-    std::optional<instant> m_seenAt; ///< first tick after this version was seen: never earlier than its write
+    std::optional<object_version> m_seenVersion; ///< object version of the last read or write
+    std::optional<instant> m_seenAt; ///< first tick after this version was seen; never earlier than its write
     lease_record m_seen;
 
-    lease_record m_written; ///< newest record that this process tried to write
+    lease_record m_written; ///< latest record that this process tried to write
     instant m_writeStarted{};
-    instant m_actUntil{}; ///< zero: not the holder
-    instant m_takenAt{}; ///< when this process took the lease
-    std::shared_ptr<bool> m_alive; ///< false once destroyed; for callbacks in flight
+    instant m_actUntil{}; ///< zero if this process is not the holder
+    instant m_acquiredAt{}; ///< start of the current term
+    std::shared_ptr<bool> m_alive; ///< false after destruction; checked by pending callbacks
 };
 
 } // namespace foxtaildyke
--- a/src/controller_p.h
+++ b/src/controller_p.h
@@ -1,6 +1,6 @@
-// Controller: what one control process does besides answering operators. It follows the acceptance of changes and,
-// while it holds the controller lease, writes halts that the routers report, registers hosts and orders engines to load
-// versions. Pure over its ports; time comes with each call.
+// Controller: background work of a control process. It tracks the acceptance of changes and, while it holds the
+// controller lease, publishes halts reported by the routers, registers hosts and orders engines to load versions.
+// All I/O goes through its ports; time is passed to each call.
 #pragma once
 
 #include "acceptance_p.h"
@@ -10,7 +10,7 @@
 namespace foxtaildyke
 {
 
-/// Asks the router of this host for its status.
+/// Queries the router of this host for its status.
 class status_port
 {
 public:
@@ -19,7 +19,7 @@
     virtual void status(status_done done) = 0;
 };
 
-/// An order to an engine.
+/// Order to an engine to load a version.
 struct engine_order {
     upstream_info target;
     std::string model;
@@ -31,24 +31,24 @@
 class order_port
 {
 public:
-    /// @param done gets the versions that the engine has loaded, or error_code::conflict where it has seen a higher
-    /// fencing token.
+    /// Receives the versions that the engine has loaded, or error_code::conflict if it has seen a higher fencing
+    /// token.
     using load_done = std::function<void(result<std::vector<std::string>>)>;
     virtual ~order_port() = default;
     virtual void load(const engine_order &order, load_done done) = 0;
 };
 
-/// An entry host as the platform's host list shows it.
+/// Entry host in the platform's host list.
 struct listed_entry {
     host_config host;
     host_state state = host_state::live;
 };
 
-/// Chooses the next change of the registered hosts, one host at a time.
+/// Computes the next change of the registered hosts, one host at a time.
 class host_registration
 {
 public:
-    /// A host must be off the list for this long before it is removed: the list lags and may have gaps.
+    /// Time that a host must be missing from the list before it is removed: the list is delayed and may have gaps.
     static constexpr std::chrono::milliseconds kRemoveAfter{10000};
 
     /// @returns the edits that remove or add one host, or none.
@@ -56,10 +56,10 @@
                                                 instant now);
 
 private:
-    std::map<std::string, instant> m_missingSince; ///< registered hosts that are off the list
+    std::map<std::string, instant> m_missingSince; ///< registered hosts that are missing from the list
 };
 
-/// Something that the controller did, for the event log.
+/// Action of the controller, for the event log.
 struct controller_event {
     std::string type;
     std::string version;
@@ -71,30 +71,30 @@
 class controller
 {
 public:
-    static constexpr std::chrono::milliseconds kReadPeriod{1000}; ///< of the configuration, by the holder
+    static constexpr std::chrono::milliseconds kReadPeriod{1000}; ///< of the configuration, by the lease holder
     static constexpr std::chrono::milliseconds kStatusPeriod{500};
-    static constexpr std::chrono::milliseconds kOrderRetry{10000}; ///< to one engine for one version
+    static constexpr std::chrono::milliseconds kOrderRetry{10000}; ///< per engine and version
     static constexpr std::size_t kMostOpenOrders = 8;
 
     using event_sink = std::function<void(controller_event)>;
 
-    /// @param hostName of this host. @param incarnation unique to this process.
+    /// @param hostName name of this host. @param incarnation unique to this process.
     controller(object_store &store, status_port &status, order_port &orders, std::string hostName,
                const std::string &incarnation, event_sink onEvent);
     ~controller();
     controller(const controller &) = delete;
     controller &operator=(const controller &) = delete;
 
-    /// Drives everything. @param unixMs wall clock, recorded with changes.
+    /// Runs all periodic work. @param unixMs wall-clock time, recorded with changes.
     void tick(instant now, std::int64_t unixMs);
 
-    /// Publishes an operator's change; the acceptance of its generation is followed from then on.
+    /// Publishes an operator's change and tracks the acceptance of its generation from then on.
     void publish(change_request request, config_publisher::published_done done);
 
     /// Reads the configuration from the store.
     void read(config_publisher::read_done done);
 
-    /// Takes the platform's host list.
+    /// Sets the platform's host list.
     void setHosts(std::vector<listed_entry> entries, std::vector<upstream_info> upstreams);
 
     [[nodiscard]] const acceptance &changes() const { return m_acceptance; }
@@ -109,12 +109,12 @@
     };
 
     void pollStatus();
-    void followAcceptance();
-    [[nodiscard]] bool mayChange() const;
+    void updateAcceptance();
+    [[nodiscard]] bool mayPublishOwn() const;
     void pollConfig();
     void adopt(const config_document &document);
-    void actAsHolder();
-    void writeHalts();
+    void runHolderTasks();
+    void publishHalts();
     void registerHosts();
     void orderLoads();
     void orderLoad(const upstream_info &target, const version_config &version);
@@ -139,20 +139,20 @@
     instant m_nextConfig{};
     bool m_statusOpen = false;
     bool m_configOpen = false;
-    bool m_ownChangeOpen = false; ///< one change of the controller itself at a time
-    instant m_nextOwnChange{}; ///< after one that failed
+    bool m_ownChangeOpen = false; ///< a change by the controller itself is being published; only one at a time
+    instant m_nextOwnChange{}; ///< earliest time of the next attempt after a failed change
     bool m_wasHolder = false;
-    std::uint64_t m_ownChanges = 0; ///< part of the change ids
+    std::uint64_t m_ownChanges = 0; ///< counter for change ids
 
-    config_document m_document; ///< newest that this process has read or written
-    fleet m_fleet; ///< of m_document, without overlay
-    std::optional<host_status> m_status; ///< nothing while the router doesn't answer
-    bool m_statusIsNew = false; ///< not yet taken by m_acceptance
+    config_document m_document; ///< newest configuration that this process has read or written
+    fleet m_fleet; ///< built from m_document, without overlay
+    std::optional<host_status> m_status; ///< nullopt while the router doesn't respond
+    bool m_statusIsNew = false; ///< not yet passed to m_acceptance
     bool m_hostsKnown = false; ///< setHosts() was called
     std::vector<listed_entry> m_entries;
     std::vector<upstream_info> m_upstreams;
-    std::map<std::string, order_state> m_orders; ///< by upstream and version
-    std::shared_ptr<bool> m_alive; ///< false once destroyed; for callbacks in flight
+    std::map<std::string, order_state> m_orders; ///< keyed by "upstream/version"
+    std::shared_ptr<bool> m_alive; ///< false after destruction; checked by pending callbacks
 };
 
 } // namespace foxtaildyke
--- a/src/object_store_http.cpp
+++ b/src/object_store_http.cpp
@@ -17,14 +17,15 @@
     error_code code;
 };
 
-/// Statuses with a meaning of their own. Other 4xx are protocol violations; other 5xx leave the effect open.
+/// Statuses with a specific meaning. Other 4xx are protocol violations; after other 5xx the call may or may not have
+/// taken effect.
 constexpr std::array kStatusErrors{
     status_error{404, error_code::not_found},   status_error{409, error_code::conflict},
     status_error{412, error_code::conflict},    status_error{413, error_code::too_large},
     status_error{429, error_code::unavailable}, status_error{503, error_code::unavailable},
 };
 
-error_code codeOfStatus(int status)
+error_code errorCodeOf(int status)
 {
     const auto found = std::ranges::find(kStatusErrors, status, &status_error::status);
     if (found != kStatusErrors.end())
@@ -33,8 +34,8 @@
     return status >= kFirstServerError ? error_code::io_failure : error_code::protocol_violation;
 }
 
-/// @returns the version in an ETag, or nothing where it is malformed.
-std::optional<object_version> versionOf(std::string_view etag)
+/// @returns the version in an ETag, or nullopt if it is malformed.
+std::optional<object_version> parseEtag(std::string_view etag)
 {
     if (etag.size() < 3 || etag.front() != '"' || etag.back() != '"')
         return std::nullopt;
@@ -46,14 +47,14 @@
     return version;
 }
 
-std::pair<std::string, std::string> condition(object_version expected)
+std::pair<std::string, std::string> conditionHeader(object_version expected)
 {
     if (expected == 0)
         return {"If-None-Match", "*"};
     return {"If-Match", '"' + std::to_string(expected) + '"'};
 }
 
-std::string encodePart(std::string_view text)
+std::string encodeComponent(std::string_view text)
 {
     char *encoded = evhttp_uriencode(text.data(), static_cast<ev_ssize_t>(text.size()), 0);
     std::string copy(encoded);
@@ -61,7 +62,7 @@
     return copy;
 }
 
-result<std::vector<std::string>> keysOf(const std::string &body)
+result<std::vector<std::string>> parseKeys(const std::string &body)
 {
     const error malformed{error_code::protocol_violation, "items"};
     const auto json = nlohmann::json::parse(body, nullptr, false);
@@ -82,18 +83,18 @@
 {
     const auto slash = text.find('/');
     if (slash == std::string_view::npos)
-        return encodePart(text);
-    return encodePart(text.substr(0, slash)) + '/' + encodePath(text.substr(slash + 1));
+        return encodeComponent(text);
+    return encodeComponent(text.substr(0, slash)) + '/' + encodePath(text.substr(slash + 1));
 }
 
-std::optional<error> platformError(const http_reply &reply, const std::string &field)
+std::optional<error> platformError(const http_reply &response, const std::string &field)
 {
     constexpr int kFirstError = 300;
-    switch (reply.end) {
+    switch (response.end) {
     case http_end::answered:
-        if (reply.status < kFirstError)
+        if (response.status < kFirstError)
             return std::nullopt;
-        return error{codeOfStatus(reply.status), field};
+        return error{errorCodeOf(response.status), field};
     case http_end::not_connected:
         return error{error_code::unavailable, field};
     case http_end::timed_out:
@@ -125,11 +126,11 @@
 void object_store_http::start(const char *name, http_request request, std::function<void(const http_reply &)> done)
 {
     http_handlers handlers;
-    handlers.onDone = [name, done = std::move(done), observer = m_observer](const http_reply &reply) {
-        const auto failure = platformError(reply, {});
+    handlers.onDone = [name, done = std::move(done), observer = m_observer](const http_reply &response) {
+        const auto failure = platformError(response, {});
         if (observer)
             observer(name, failure ? nameOf(failure->code) : "ok");
-        done(reply);
+        done(response);
     };
     m_client.start(std::move(request), std::move(handlers));
 }
@@ -137,26 +138,26 @@
 void object_store_http::read(const std::string &key, read_done done)
 {
     auto call = request(http_method::get, "/objects/" + encodePath(key));
-    start("read", std::move(call), [key, done = std::move(done)](const http_reply &reply) {
-        if (auto failure = platformError(reply, key))
+    start("read", std::move(call), [key, done = std::move(done)](const http_reply &response) {
+        if (auto failure = platformError(response, key))
             return done(*failure);
-        const auto version = versionOf(reply.etag);
+        const auto version = parseEtag(response.etag);
         if (!version)
             return done(error{error_code::protocol_violation, key});
-        done(stored_object{reply.body, *version});
+        done(stored_object{response.body, *version});
     });
 }
 
 void object_store_http::write(const std::string &key, std::string body, object_version expected, write_done done)
 {
     auto call = request(http_method::put, "/objects/" + encodePath(key));
-    call.headers.push_back(condition(expected));
+    call.headers.push_back(conditionHeader(expected));
     call.body = std::move(body);
-    start("write", std::move(call), [key, done = std::move(done)](const http_reply &reply) {
-        if (auto failure = platformError(reply, key))
+    start("write", std::move(call), [key, done = std::move(done)](const http_reply &response) {
+        if (auto failure = platformError(response, key))
             return done(*failure);
-        const auto version = versionOf(reply.etag);
-        // The write took effect, but its version is unknown: the caller has to read it back.
+        const auto version = parseEtag(response.etag);
+        // The write took effect, but the new version is unknown: the caller must read the object back.
         if (!version)
             return done(error{error_code::io_failure, key});
         done(*version);
@@ -166,9 +167,9 @@
 void object_store_http::remove(const std::string &key, object_version expected, remove_done done)
 {
     auto call = request(http_method::remove, "/objects/" + encodePath(key));
-    call.headers.push_back(condition(expected));
-    start("remove", std::move(call), [key, done = std::move(done)](const http_reply &reply) {
-        if (auto failure = platformError(reply, key))
+    call.headers.push_back(conditionHeader(expected));
+    start("remove", std::move(call), [key, done = std::move(done)](const http_reply &response) {
+        if (auto failure = platformError(response, key))
             return done(*failure);
         done(BOOST_OUTCOME_V2_NAMESPACE::success());
     });
@@ -177,12 +178,12 @@
 void object_store_http::list(const std::string &prefix, const std::string &after, std::size_t limit, list_done done)
 {
     auto call = request(http_method::get,
-                        "/objects?prefix=" + encodePart(prefix) + "&after=" + encodePart(after)
+                        "/objects?prefix=" + encodeComponent(prefix) + "&after=" + encodeComponent(after)
                             + "&limit=" + std::to_string(limit));
-    start("list", std::move(call), [prefix, done = std::move(done)](const http_reply &reply) {
-        if (auto failure = platformError(reply, prefix))
+    start("list", std::move(call), [prefix, done = std::move(done)](const http_reply &response) {
+        if (auto failure = platformError(response, prefix))
             return done(*failure);
-        done(keysOf(reply.body));
+        done(parseKeys(response.body));
     });
 }
 
--- a/src/object_store_http_p.h
+++ b/src/object_store_http_p.h
@@ -1,4 +1,4 @@
-// Adapter of the port object_store to the platform's object API over HTTP.
+// Implementation of the object_store port on the platform's HTTP object API.
 #pragma once
 
 #include "http_client_p.h"
@@ -10,8 +10,8 @@
 class object_store_http : public object_store
 {
 public:
-    /// Called once for each finished call with its name and end, for metrics.
-    using call_observer = std::function<void(std::string_view name, std::string_view end)>;
+    /// Called once per finished call with its name and outcome, for metrics.
+    using call_observer = std::function<void(std::string_view name, std::string_view outcome)>;
 
     static constexpr std::chrono::milliseconds kDefaultTimeout{2000};
 
@@ -33,10 +33,10 @@
     call_observer m_observer;
 };
 
-/// @returns the error that a reply of the platform stands for, or nothing where the call succeeded.
-[[nodiscard]] std::optional<error> platformError(const http_reply &reply, const std::string &field);
+/// @returns the error for a response of the platform, or nullopt if the call succeeded.
+[[nodiscard]] std::optional<error> platformError(const http_reply &response, const std::string &field);
 
-/// @returns text with all but unreserved characters and "/" percent-encoded.
+/// Percent-encodes all characters except unreserved ones and "/".
 [[nodiscard]] std::string encodePath(std::string_view text);
 
 } // namespace foxtaildyke
--- a/src/object_store_p.h
+++ b/src/object_store_p.h
@@ -1,5 +1,5 @@
-// Port to the platform's object API: versions, conditional updates, listing. Adapters: object_store_http.cpp over HTTP,
-// fakes in the tests.
+// Port to the platform's object API: versioned objects, conditional writes, listing. Implementations:
+// object_store_http.cpp (HTTP) and fakes in the tests.
 #pragma once
 
 #include "foxtaildyke/foxtaildyke.h"
@@ -10,7 +10,7 @@
 namespace foxtaildyke
 {
 
-/// Version of a stored object; 0 stands for "does not exist".
+/// Version of a stored object; 0 means that the object does not exist.
 using object_version = std::uint64_t;
 
 struct stored_object {
@@ -19,8 +19,8 @@
 };
 
 /// Asynchronous access to the object API. Every callback runs exactly once, on the caller's task.
-/// @remarks Errors: conflict (the condition did not hold; nothing was written), not_found, unavailable (the store
-/// refused; nothing was written), timed_out and io_failure (a write may or may not have taken effect).
+/// @remarks Errors: conflict (the condition failed; nothing was written), not_found, unavailable (the store refused the
+/// call; nothing was written), timed_out and io_failure (a write may or may not have taken effect).
 class object_store
 {
 public:
@@ -33,12 +33,12 @@
 
     virtual void read(const std::string &key, read_done done) = 0;
 
-    /// Writes an object where its version is still `expected`; 0 creates it.
+    /// Writes an object if its version is `expected`; 0 creates the object.
     virtual void write(const std::string &key, std::string body, object_version expected, write_done done) = 0;
 
     virtual void remove(const std::string &key, object_version expected, remove_done done) = 0;
 
-    /// Lists keys with a prefix, sorted, after `after`, at most `limit`.
+    /// Lists at most `limit` keys that start with `prefix` and sort after `after`, in order.
     virtual void list(const std::string &prefix, const std::string &after, std::size_t limit, list_done done) = 0;
 };
 
--- a/src/platform_client.cpp
+++ b/src/platform_client.cpp
@@ -27,7 +27,7 @@
     host.info.service = entry.value("service", "");
     host.info.versions = entry.value("versions", std::vector<std::string>{});
     host.info.slots = entry.value("slots", host.info.slots);
-    // A state that is not known is not "live": no new work goes there.
+    // An unknown state is treated as leaving, so that the host receives no new work.
     host.info.state = valueOf<host_state>(entry.at("state").get<std::string>()).value_or(host_state::leaving);
     host.role = entry.value("role", "");
     host.model = entry.value("model", "");
@@ -35,12 +35,12 @@
     return host;
 }
 
-std::optional<std::uint32_t> decodeScore(const http_reply &reply)
+std::optional<std::uint32_t> decodeScore(const http_reply &response)
 {
     constexpr double kPermille = 1000;
-    if (platformError(reply, {}))
+    if (platformError(response, {}))
         return std::nullopt;
-    const auto body = json::parse(reply.body, nullptr, false);
+    const auto body = json::parse(response.body, nullptr, false);
     if (!body.is_object() || !body.contains("score") || !body["score"].is_number())
         return std::nullopt;
     const auto score = body["score"].get<double>();
@@ -96,12 +96,12 @@
     request.path = "/hosts";
     if (knownVersion)
         request.headers.emplace_back("If-None-Match", '"' + std::to_string(*knownVersion) + '"');
-    start(std::move(request), [done = std::move(done)](const http_reply &reply) {
-        if (reply.status == http_status::kNotModified)
+    start(std::move(request), [done = std::move(done)](const http_reply &response) {
+        if (response.status == http_status::kNotModified)
             return done(std::nullopt);
-        if (auto failure = platformError(reply, "hosts"))
+        if (auto failure = platformError(response, "hosts"))
             return done(*failure);
-        auto list = decodeHostList(reply.body);
+        auto list = decodeHostList(response.body);
         if (list.has_error())
             return done(list.error());
         done(std::optional(std::move(list.value())));
@@ -111,14 +111,15 @@
 void platform_client::rate(const std::string &kind, const std::string &text, rate_done done)
 {
     auto body = dump({{"kind", kind}, {"text", text}});
-    post("/rate", std::move(body), [done = std::move(done)](const http_reply &reply) { done(decodeScore(reply)); });
+    post("/rate", std::move(body),
+         [done = std::move(done)](const http_reply &response) { done(decodeScore(response)); });
 }
 
 void platform_client::requestWeights(const std::string &model, const std::string &version, weights_done done)
 {
     auto body = dump({{"model", model}, {"version", version}});
-    post("/weights", std::move(body), [version, done = std::move(done)](const http_reply &reply) {
-        if (auto failure = platformError(reply, version))
+    post("/weights", std::move(body), [version, done = std::move(done)](const http_reply &response) {
+        if (auto failure = platformError(response, version))
             return done(*failure);
         done(BOOST_OUTCOME_V2_NAMESPACE::success());
     });
--- a/src/platform_client_p.h
+++ b/src/platform_client_p.h
@@ -7,12 +7,12 @@
 namespace foxtaildyke
 {
 
-/// One line of the host list.
+/// Entry of the host list.
 struct listed_host {
-    upstream_info info; ///< of an entry host: service and versions are empty, port is the peer port
+    upstream_info info; ///< for an entry host, service and versions are empty and port is the peer port
     std::string role; ///< "upstream" or "entry"
     std::string model;
-    std::string region; ///< empty where the list does not state it
+    std::string region; ///< empty if the list does not give it
 };
 
 struct host_list {
@@ -23,7 +23,7 @@
 class platform_client
 {
 public:
-    /// Nothing inside the result: the list still has the version that is known.
+    /// Receives nullopt if the list still has the known version.
     using hosts_done = std::function<void(result<std::optional<host_list>>)>;
     using rate_done = std::function<void(std::optional<std::uint32_t> scorePermille)>;
     using weights_done = std::function<void(result<void>)>;
@@ -31,14 +31,15 @@
     platform_client(http_client &client, http_endpoint platform);
 
     /// Reads the host list.
-    /// @param knownVersion version of the list that the caller has; the platform then sends no list that is the same.
+    /// @param knownVersion version of the list that the caller already has; the platform doesn't send that version
+    /// again.
     void hosts(std::optional<std::uint64_t> knownVersion, hosts_done done);
 
-    /// Rates an answer. @param done gets nothing where the rating service did not answer.
+    /// Rates a response. @param done receives nullopt if the rating service gave no valid score.
     void rate(const std::string &kind, const std::string &text, rate_done done);
 
-    /// Asks the weight store to make a version's weights ready.
-    /// @param done gets error_code::unavailable where the store's rate limit refused.
+    /// Asks the weight store to prepare the weights of a version.
+    /// @param done receives error_code::unavailable if the store's rate limit rejected the call.
     void requestWeights(const std::string &model, const std::string &version, weights_done done);
 
 private:
@@ -49,7 +50,7 @@
     http_endpoint m_platform;
 };
 
-/// Reads the body of GET /hosts.
+/// Decodes the response body of GET /hosts.
 [[nodiscard]] result<host_list> decodeHostList(const std::string &body);
 
 } // namespace foxtaildyke
--- a/src/publisher.cpp
+++ b/src/publisher.cpp
@@ -20,11 +20,11 @@
     return edit.key.empty() ? edit.section : edit.section + '/' + edit.key;
 }
 
-/// @returns the first edit that a change after `seen` has touched as well.
+/// @returns a conflict for the first edit whose key a change after `seen` has also modified.
 std::optional<error> findConflict(const config_document &current, const change_request &request)
 {
     const auto oldest = current.history.empty() ? current.generation + 1 : current.history.front().generation;
-    // Changes between the two that the history no longer holds could have touched anything.
+    // Changes after `seen` that have dropped out of the history could have modified any key.
     if (oldest > request.seen + 1 && current.generation > request.seen)
         return error{error_code::conflict, "history"};
     for (const auto &change : current.history) {
@@ -56,7 +56,7 @@
 {
     if (request.seen > current.generation)
         return error{error_code::stale_generation, kConfigKey};
-    // Withdrawals are merged into whatever is current: they never conflict.
+    // Withdrawals apply to any current configuration and never conflict.
     if (std::ranges::all_of(request.edits, isWithdrawal))
         return findUnknownVersion(current, request.edits);
     return findConflict(current, request);
@@ -76,7 +76,7 @@
     return found == document.history.end() ? nullptr : &*found;
 }
 
-/// JSON of a document that fits into one object; the oldest changes are dropped where it does not.
+/// Encodes a document as JSON, dropping the oldest changes of its history until it fits into one object.
 result<std::string> encodeToFit(config_document &document)
 {
     auto text = encodeConfig(document);
@@ -96,11 +96,11 @@
     published_done done;
     std::optional<instant> started; ///< set by the first tick after publish()
     instant retryAt{};
-    bool waiting = false; ///< for retryAt; otherwise a call to the store is open
+    bool waiting = false; ///< for retryAt; otherwise a call to the store is in progress
     bool finished = false;
-    bool wrote = false; ///< at least one write was sent
-    bool earlierInDoubt = false; ///< also the write before the open one had no answer, on the same version
-    std::optional<object_version> inDoubt; ///< version on which a write without an answer was conditional
+    bool wrote = false; ///< at least one write has been sent
+    bool earlierWriteInDoubt = false; ///< the previous write, conditional on the same version, also got no response
+    std::optional<object_version> inDoubtVersion; ///< expected version of a write whose outcome is unknown
 };
 
 config_edit withdrawalOf(const std::string &version)
@@ -189,9 +189,9 @@
 {
     if (const auto *change = findChange(current, open->request.changeId))
         return finish(open, published_change{change->generation, current, open->wrote});
-    // A write on another version than the present one can't take effect any more.
-    if (open->inDoubt && *open->inDoubt != version)
-        open->inDoubt.reset();
+    // A write that expects a version other than the current one can no longer take effect.
+    if (open->inDoubtVersion && *open->inDoubtVersion != version)
+        open->inDoubtVersion.reset();
     auto next = addChange(current, open->request);
     if (next.has_error())
         return finish(open, next.error());
@@ -200,8 +200,8 @@
     auto text = encodeToFit(next.value());
     if (text.has_error())
         return finish(open, text.error());
-    open->earlierInDoubt = open->inDoubt.has_value();
-    open->inDoubt = version;
+    open->earlierWriteInDoubt = open->inDoubtVersion.has_value();
+    open->inDoubtVersion = version;
     open->wrote = true;
     auto onDone = [this, open, alive = m_alive, next = next.value()](const result<object_version> &written) {
         if (*alive && !open->finished)
@@ -221,10 +221,10 @@
         return readFor(open);
     if (code == error_code::too_large)
         return finish(open, written.error());
-    // Only `unavailable` says that nothing was written, and only of this write. Reading back shows whether the change
-    // id is there.
-    if (code == error_code::unavailable && !open->earlierInDoubt)
-        open->inDoubt.reset();
+    // Only `unavailable` means that nothing was written, and only for this write. Reading the object back shows whether
+    // it contains the change id.
+    if (code == error_code::unavailable && !open->earlierWriteInDoubt)
+        open->inDoubtVersion.reset();
     open->waiting = true;
     open->retryAt = m_now + kRetryDelay;
 }
@@ -238,7 +238,7 @@
             open->started = now;
         const auto isLate = now - *open->started >= kGiveUpAfter;
         if (isLate && !open->finished)
-            finish(open, error{open->inDoubt ? error_code::timed_out : error_code::unavailable, kConfigKey});
+            finish(open, error{open->inDoubtVersion ? error_code::timed_out : error_code::unavailable, kConfigKey});
         else if (open->waiting && now >= open->retryAt)
             readFor(open);
     }
--- a/src/publisher_p.h
+++ b/src/publisher_p.h
@@ -1,5 +1,5 @@
-// Publishing of configuration changes: conditional update of `config/current`, settling of lost answers by change id,
-// and the rules for operators that race. Pure over the object_store port.
+// Publishing of configuration changes: conditional writes of `config/current`, resolution of lost responses by change
+// id, and conflict rules for concurrent operators. All I/O goes through the object_store port.
 #pragma once
 
 #include "object_store_p.h"
@@ -10,42 +10,42 @@
 namespace foxtaildyke
 {
 
-/// A change that somebody wants to publish.
+/// A configuration change to publish.
 struct change_request {
-    std::string changeId; ///< chosen by the requester; sending the same id again never makes a second change
+    std::string changeId; ///< chosen by the requester; retrying with the same id never makes a second change
     std::string author;
     std::int64_t unixMs = 0;
-    generation_number seen = 0; ///< generation on which the requester based the change; 0: there was none
+    generation_number seen = 0; ///< generation that the change is based on; 0 if none existed
     std::vector<config_edit> edits;
-    bool mustBeNewest = false; ///< conflict where any other change came after `seen`
+    bool mustBeNewest = false; ///< report a conflict if any other change was published after `seen`
 };
 
-/// What `config/current` held when a change was found in it, or after it was written.
+/// Content of `config/current` in which a change was found or which includes the written change.
 struct published_change {
-    generation_number generation = 0; ///< that the change made
+    generation_number generation = 0; ///< created by the change
     config_document document;
-    bool isNew = false; ///< made by this call; false: it was there before, or made no difference
+    bool isNew = false; ///< published by this call; false if it already existed or had no effect
 };
 
 /// @returns the edit that withdraws a version.
 [[nodiscard]] config_edit withdrawalOf(const std::string &version);
 
-/// @returns whether two edits change the same key of the same layer.
+/// @returns whether two edits modify the same key of the same layer.
 [[nodiscard]] bool touchesSameKey(const config_edit &left, const config_edit &right);
 
-/// Adds a change to a document: conflict, checks and history.
-/// @returns the next document; the unchanged one where the edits make no difference.
+/// Adds a change to a document: detects conflicts, validates the result and extends the history.
+/// @returns the next document, or the current one if the edits have no effect.
 [[nodiscard]] result<config_document> addChange(const config_document &current, const change_request &request);
 
-/// Publishes changes one after another or at once; each is retried until it is written, refused or given up.
-/// @remarks Single task; the store's callbacks come on the same task.
+/// Publishes changes sequentially or concurrently; each is retried until it is written, rejected or timed out.
+/// @remarks Not thread-safe: the store's callbacks must run on the task that uses the object.
 class config_publisher
 {
 public:
     using published_done = std::function<void(result<published_change>)>;
     using read_done = std::function<void(result<config_document>)>;
 
-    static constexpr std::size_t kMostBytes = 1'000'000; ///< values of the object API are up to 1 MB
+    static constexpr std::size_t kMostBytes = 1'000'000; ///< the object API stores values of up to 1 MB
     static constexpr std::chrono::milliseconds kRetryDelay{200};
     static constexpr std::chrono::milliseconds kGiveUpAfter{10000};
 
@@ -54,14 +54,14 @@
     config_publisher(const config_publisher &) = delete;
     config_publisher &operator=(const config_publisher &) = delete;
 
-    /// @param done gets error_code::unavailable where nothing was written, and timed_out where the last write may still
-    /// have taken effect; the requester then repeats the change with the same id.
+    /// @param done receives error_code::unavailable if nothing was written, and timed_out if the last write may still
+    /// have taken effect; the requester then retries the change with the same id.
     void publish(change_request request, published_done done);
 
-    /// Reads the configuration; generation 0 where none exists.
+    /// Reads the configuration; its generation is 0 if none exists.
     void read(read_done done);
 
-    /// Retries what is due and gives up what is too old.
+    /// Retries changes that are due and fails those that have timed out.
     void tick(instant now);
 
     [[nodiscard]] std::size_t openChanges() const { return m_open.size(); }
@@ -79,7 +79,7 @@
     object_store &m_store;
     instant m_now{};
     std::list<operation_ptr> m_open;
-    std::shared_ptr<bool> m_alive; ///< false once destroyed; for callbacks in flight
+    std::shared_ptr<bool> m_alive; ///< false after destruction; checked by pending callbacks
 };
 
 } // namespace foxtaildyke
--- a/src/store_ports.cpp
+++ b/src/store_ports.cpp
@@ -1,4 +1,4 @@
-// Ports on the object store alone; see store_ports_p.h.
+// Ports implemented directly on the object store; see store_ports_p.h.
 #include "store_ports_p.h"
 
 #include <nlohmann/json.hpp>
@@ -19,7 +19,7 @@
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-/// Errors after which the store holds nothing of the write.
+/// @returns whether the error means that nothing was written.
 bool isNotWritten(const error &failure)
 {
     return failure.code == error_code::unavailable || failure.code == error_code::too_large;
@@ -28,30 +28,31 @@
 } // namespace
 
 store_config::store_config(event_loop &loop, object_store &store, std::string failureDomain, core_sink deliver,
-                           event_sink note)
+                           event_sink onEvent)
     : m_store(store)
     , m_failureDomain(std::move(failureDomain))
     , m_deliver(std::move(deliver))
-    , m_note(std::move(note))
-    , m_timer(loop, [this] { readOnce(); })
+    , m_onEvent(std::move(onEvent))
+    , m_timer(loop, [this] { startRead(); })
 {
 }
 
 void store_config::start()
 {
-    readOnce();
+    startRead();
 }
 
-void store_config::readOnce()
+void store_config::startRead()
 {
     m_timer.start(kReadPeriod);
     if (std::exchange(m_isReading, true))
         return;
-    const auto begun = event_loop::now();
-    m_store.read("config/current", [this, begun](const result<stored_object> &object) { onRead(begun, object); });
+    const auto startedAt = event_loop::now();
+    m_store.read("config/current",
+                 [this, startedAt](const result<stored_object> &object) { onRead(startedAt, object); });
 }
 
-void store_config::onRead(instant begun, const result<stored_object> &object)
+void store_config::onRead(instant startedAt, const result<stored_object> &object)
 {
     m_isReading = false;
     if (object.has_error())
@@ -59,14 +60,14 @@
     if (object.value().version != m_version && !adopt(object.value().body))
         return;
     m_version = object.value().version;
-    m_deliver(lease_changed{m_config->generation, begun + m_config->tune.freshnessLease});
+    m_deliver(lease_changed{m_config->generation, startedAt + m_config->tune.freshnessLease});
 }
 
 bool store_config::adopt(const std::string &body)
 {
     const auto document = decodeConfig(body);
     if (document.has_error()) {
-        m_note("config_rejected", document.error().field, 0);
+        m_onEvent("config_rejected", document.error().field, 0);
         return false;
     }
     const auto generation = document.value().generation;
@@ -74,11 +75,11 @@
         return generation == m_config->generation;
     auto built = buildFleet(document.value().layers, generation, m_failureDomain);
     if (built.has_error()) {
-        m_note("config_rejected", built.error().field, generation);
+        m_onEvent("config_rejected", built.error().field, generation);
         return false;
     }
     m_config = std::make_shared<const fleet>(std::move(built.value()));
-    m_note("config_adopted", "store read", generation);
+    m_onEvent("config_adopted", "store read", generation);
     m_deliver(config_changed{m_config});
     return true;
 }
@@ -90,10 +91,10 @@
 {
 }
 
-void store_ledger::reply(ledger_response answer)
+void store_ledger::respond(ledger_response response)
 {
     --m_open;
-    m_deliver(std::move(answer));
+    m_deliver(std::move(response));
 }
 
 void store_ledger::claim(const write_claim &record)
@@ -105,11 +106,11 @@
         recordKey("claims", record.account, record.requestId), dump({{"host", m_host}}), 0,
         [this, request, billKey](const result<object_version> &written) {
             if (written.has_value())
-                return reply({request, ledger_step::claim, ledger_status::written, {}, {}});
+                return respond({request, ledger_step::claim, ledger_status::written, {}, {}});
             if (written.error().code == error_code::conflict)
                 return readBill(request, billKey);
             const bool isAbsent = isNotWritten(written.error());
-            reply(
+            respond(
                 {request, ledger_step::claim, isAbsent ? ledger_status::unavailable : ledger_status::unknown, {}, {}});
         });
 }
@@ -118,14 +119,14 @@
 {
     m_store.read(key, [this, request](const result<stored_object> &object) {
         if (object.has_error())
-            return reply({request, ledger_step::claim, ledger_status::exists_open, {}, {}});
+            return respond({request, ledger_step::claim, ledger_status::exists_open, {}, {}});
         const auto body = nlohmann::json::parse(object.value().body, nullptr, false);
-        const bool hasAnswer = body.is_object() && body.contains("answer") && body["answer"].is_string();
-        reply({request,
-               ledger_step::claim,
-               ledger_status::exists_billed,
-               hasAnswer ? body["answer"].get<std::string>() : "",
-               {}});
+        const bool hasStoredResponse = body.is_object() && body.contains("answer") && body["answer"].is_string();
+        respond({request,
+                 ledger_step::claim,
+                 ledger_status::exists_billed,
+                 hasStoredResponse ? body["answer"].get<std::string>() : "",
+                 {}});
     });
 }
 
@@ -137,10 +138,10 @@
     m_store.write(key, dump({{"versions", record.versions}}), 0,
                   [this, request, key](const result<object_version> &written) {
                       if (written.has_value())
-                          return reply({request, ledger_step::pin, ledger_status::written, {}, {}});
+                          return respond({request, ledger_step::pin, ledger_status::written, {}, {}});
                       if (written.error().code == error_code::conflict)
                           return readPin(request, key);
-                      reply({request, ledger_step::pin, ledger_status::unavailable, {}, {}});
+                      respond({request, ledger_step::pin, ledger_status::unavailable, {}, {}});
                   });
 }
 
@@ -148,15 +149,15 @@
 {
     m_store.read(key, [this, request](const result<stored_object> &object) {
         if (object.has_error())
-            return reply({request, ledger_step::pin, ledger_status::unavailable, {}, {}});
+            return respond({request, ledger_step::pin, ledger_status::unavailable, {}, {}});
         const auto body = nlohmann::json::parse(object.value().body, nullptr, false);
         if (!body.is_object() || !body.contains("versions"))
-            return reply({request, ledger_step::pin, ledger_status::unavailable, {}, {}});
-        reply({request,
-               ledger_step::pin,
-               ledger_status::exists_pinned,
-               {},
-               body["versions"].get<std::vector<std::string>>()});
+            return respond({request, ledger_step::pin, ledger_status::unavailable, {}, {}});
+        respond({request,
+                 ledger_step::pin,
+                 ledger_status::exists_pinned,
+                 {},
+                 body["versions"].get<std::vector<std::string>>()});
     });
 }
 
@@ -173,9 +174,10 @@
     m_store.write(
         recordKey("bills", record.account, record.requestId), dump(body), 0,
         [this, request](const result<object_version> &written) {
-            // A conflict means that the key is billed already; the first record counts.
+            // A conflict means that the request is already billed; the first record is authoritative.
             const bool isBilled = written.has_value() || written.error().code == error_code::conflict;
-            reply({request, ledger_step::bill, isBilled ? ledger_status::written : ledger_status::unavailable, {}, {}});
+            respond(
+                {request, ledger_step::bill, isBilled ? ledger_status::written : ledger_status::unavailable, {}, {}});
         });
 }
 
--- a/src/store_ports_p.h
+++ b/src/store_ports_p.h
@@ -1,5 +1,5 @@
-// Ports on the object store alone, for a single host: the configuration and its lease come from reads of
-// `config/current`, and each claim, pin and bill is an object of its own.
+// Ports implemented directly on the object store, for a deployment with a single host: the configuration and its lease
+// come from reads of `config/current`, and each claim, pin and bill is a separate object.
 #pragma once
 
 #include "event_loop_p.h"
@@ -10,7 +10,8 @@
 namespace foxtaildyke
 {
 
-/// Reads `config/current` periodically. A read is the freshness lease: it starts when the read began.
+/// Reads `config/current` periodically. Each successful read renews the freshness lease, counted from the start of the
+/// read.
 class store_config : public config_port
 {
 public:
@@ -18,25 +19,26 @@
 
     static constexpr std::chrono::milliseconds kReadPeriod{250};
 
-    store_config(event_loop &loop, object_store &store, std::string failureDomain, core_sink deliver, event_sink note);
+    store_config(event_loop &loop, object_store &store, std::string failureDomain, core_sink deliver,
+                 event_sink onEvent);
     void start() override;
 
 private:
-    void readOnce();
-    void onRead(instant begun, const result<stored_object> &object);
+    void startRead();
+    void onRead(instant startedAt, const result<stored_object> &object);
     [[nodiscard]] bool adopt(const std::string &body);
 
     object_store &m_store;
     std::string m_failureDomain;
     core_sink m_deliver;
-    event_sink m_note;
-    object_version m_version = 0; ///< of the object that m_config was built from
+    event_sink m_onEvent;
+    object_version m_version = 0; ///< of the object from which m_config was built
     fleet_ptr m_config;
     bool m_isReading = false;
     loop_timer m_timer;
 };
 
-/// Writes one object for each record, with create-if-absent.
+/// Writes each record as a separate object, only if the object does not exist yet.
 class store_ledger : public ledger_port
 {
 public:
@@ -47,17 +49,17 @@
     [[nodiscard]] bool isIdle() const override { return m_open == 0; }
 
 private:
-    void reply(ledger_response answer);
+    void respond(ledger_response response);
     void readBill(request_token request, const std::string &key);
     void readPin(request_token request, const std::string &key);
 
     object_store &m_store;
     std::string m_host;
     core_sink m_deliver;
-    std::size_t m_open = 0; ///< records without a reply
+    std::size_t m_open = 0; ///< records whose response is outstanding
 };
 
-/// For a host without peers.
+/// No-op implementation for a host without peers.
 class no_sharing : public sharing_port
 {
 public:
