--- a/tests/control_fakes_p.h
+++ b/tests/control_fakes_p.h
@@ -1,5 +1,5 @@
-// Fakes of the controller's ports with virtual time: an object store that loses answers and has outages, a status port
-// and an order port whose answers the test sets.
+// Fakes of the controller's ports: an object store that loses responses and has outages, and status and order ports
+// whose responses the test sets.
 #pragma once
 
 #include "controller_p.h"
@@ -9,22 +9,22 @@
 namespace foxtaildyke
 {
 
-/// What happens to the next write.
+/// Fault injected into a write.
 enum class write_fault : std::uint8_t {
     none,
-    answer_lost, ///< takes effect, answered timed_out
-    never_arrives, ///< answered timed_out without effect
-    arrives_late, ///< answered timed_out; takes effect by the test's call of deliverLate(), if its condition holds
+    answer_lost, ///< takes effect, but reports timed_out
+    never_arrives, ///< reports timed_out and never takes effect
+    arrives_late, ///< reports timed_out; takes effect when the test calls deliverDelayed(), if its condition holds then
 };
 
 class fake_store : public object_store
 {
 public:
     bool outage = false;
-    std::deque<write_fault> faults; ///< for the next writes
+    std::deque<write_fault> faults; ///< for the next writes, in order
     std::size_t reads = 0;
-    std::size_t writes = 0; ///< that took effect
-    std::function<void()> beforeWrite; ///< called once before the next write of the configuration is looked at
+    std::size_t writes = 0; ///< writes that took effect
+    std::function<void()> beforeConfigWrite; ///< runs once, before the next write of the configuration is processed
 
     void read(const std::string &key, read_done done) override
     {
@@ -40,7 +40,7 @@
     void write(const std::string &key, std::string body, object_version expected, write_done done) override
     {
         const bool isConfig = key == "config/current";
-        if (const auto call = isConfig ? std::exchange(beforeWrite, nullptr) : nullptr)
+        if (const auto call = isConfig ? std::exchange(beforeConfigWrite, nullptr) : nullptr)
             call();
         if (outage)
             return done(error{error_code::unavailable, key});
@@ -48,7 +48,7 @@
         if (!faults.empty())
             faults.pop_front();
         if (fault == write_fault::arrives_late)
-            m_late = [this, key, body, expected] {
+            m_delayedWrite = [this, key, body, expected] {
                 (void)put(key, body, expected);
             };
         const bool takesEffect = fault == write_fault::none || fault == write_fault::answer_lost;
@@ -69,10 +69,10 @@
         done(std::vector<std::string>{});
     }
 
-    void deliverLate()
+    void deliverDelayed()
     {
-        if (const auto late = std::exchange(m_late, nullptr))
-            late();
+        if (const auto delayed = std::exchange(m_delayedWrite, nullptr))
+            delayed();
     }
 
     [[nodiscard]] config_document config() const
@@ -94,7 +94,7 @@
 
     std::map<std::string, stored_object> m_objects;
     object_version m_lastVersion = 0;
-    std::function<void()> m_late;
+    std::function<void()> m_delayedWrite;
 };
 
 class fake_status : public status_port
@@ -119,7 +119,7 @@
     }
 };
 
-/// Base settings with two versions and some hosts "h1", "h2", ...
+/// Base settings with two versions and the given number of hosts, named "h1", "h2", ...
 [[nodiscard]] inline config_layers controlLayers(int hosts)
 {
     std::string text = "[model m]\nservice = pool\n[version v1]\nmodel = m\n[version v2]\nmodel = m\nbaseline = v1\n"
--- a/tests/shuffled_store_p.h
+++ b/tests/shuffled_store_p.h
@@ -1,5 +1,5 @@
-// Object store whose calls take effect and are answered in a random order, with answers lost before or after the
-// effect.
+// Fake object store that applies calls and delivers their responses in random order, and loses responses before or
+// after the call is applied.
 #pragma once
 
 #include "object_store_p.h"
@@ -14,8 +14,8 @@
 class shuffled_store : public object_store
 {
 public:
-    bool outage = false; ///< calls that arrive now are refused
-    unsigned lossPercent = 0; ///< of answers
+    bool outage = false; ///< calls applied now are refused
+    unsigned lossPercent = 0; ///< share of responses that are lost
 
     explicit shuffled_store(std::uint32_t seed)
         : m_random(seed)
@@ -25,11 +25,11 @@
     void read(const std::string &key, read_done done) override
     {
         auto open = std::make_shared<call>();
-        open->effect = [this, open = open.get(), key] {
+        open->apply = [this, open = open.get(), key] {
             open->refused = outage;
             open->object = find(key);
         };
-        open->answer = [open = open.get(), key, done = std::move(done)](bool isLost) {
+        open->respond = [open = open.get(), key, done = std::move(done)](bool isLost) {
             if (isLost || open->refused)
                 return done(error{isLost ? error_code::timed_out : error_code::unavailable, key});
             if (open->object.version == 0)
@@ -42,13 +42,13 @@
     void write(const std::string &key, std::string body, object_version expected, write_done done) override
     {
         auto open = std::make_shared<call>();
-        open->effect = [this, open = open.get(), key, body = std::move(body), expected] {
+        open->apply = [this, open = open.get(), key, body = std::move(body), expected] {
             open->refused = outage;
             open->conflict = !outage && find(key).version != expected;
             if (!open->refused && !open->conflict)
                 m_objects[key] = open->object = {body, ++m_lastVersion};
         };
-        open->answer = [open = open.get(), key, done = std::move(done)](bool isLost) {
+        open->respond = [open = open.get(), key, done = std::move(done)](bool isLost) {
             if (isLost)
                 return done(error{error_code::timed_out, key});
             if (open->refused || open->conflict)
@@ -68,8 +68,8 @@
         done(error{error_code::unavailable, prefix});
     }
 
-    /// Lets one random open call take effect, be answered, or lose its answer; a call that lost it may take effect
-    /// later.
+    /// Advances one random open call: applies it, delivers its response or loses the response. A call whose response
+    /// was lost may still be applied later.
     void step()
     {
         if (m_open.empty())
@@ -77,16 +77,16 @@
         const auto index = m_random() % m_open.size();
         const auto open = m_open[index];
         const bool isLost = m_random() % 100 < lossPercent;
-        if (!open->effected && !isLost) {
-            open->effected = true;
-            open->effect();
-        } else if (!open->answered) {
-            open->answered = true;
-            open->answer(isLost);
+        if (!open->applied && !isLost) {
+            open->applied = true;
+            open->apply();
+        } else if (!open->responded) {
+            open->responded = true;
+            open->respond(isLost);
         } else {
-            open->effected = true; // The request itself was lost.
+            open->applied = true; // The request was lost: it is never applied.
         }
-        if (open->effected && open->answered)
+        if (open->applied && open->responded)
             std::erase(m_open, open);
     }
 
@@ -100,10 +100,10 @@
 
 private:
     struct call {
-        std::function<void()> effect;
-        std::function<void(bool isLost)> answer;
-        bool effected = false;
-        bool answered = false;
+        std::function<void()> apply;
+        std::function<void(bool isLost)> respond;
+        bool applied = false;
+        bool responded = false;
         bool refused = false;
         bool conflict = false;
         stored_object object;
--- a/tests/test_admin_api.cpp
+++ b/tests/test_admin_api.cpp
@@ -1,5 +1,5 @@
-// Administration API: operators without the role must change nothing, answers must tell "accepted" from "written,
-// pending", and keys must not leak.
+// Administration API: operators without the required role must not change anything, responses must distinguish
+// "accepted" from "written, pending", and keys must not leak.
 #include "admin_json_p.h"
 #include "control_fakes_p.h"
 
@@ -30,8 +30,8 @@
 
     api_fixture()
     {
-        const auto reply = post("/v1/apply", files(controlLayers(3), "first"));
-        REQUIRE(reply.status == 202);
+        const auto response = post("/v1/apply", files(controlLayers(3), "first"));
+        REQUIRE(response.status == 202);
     }
 
     static json files(const config_layers &layers, const std::string &changeId)
@@ -49,10 +49,10 @@
 
     std::optional<admin_reply> send(admin_request request, const std::string &key)
     {
-        m_reply = std::make_shared<std::optional<admin_reply>>();
+        m_response = std::make_shared<std::optional<admin_reply>>();
         request.authorization = "Bearer " + key;
-        api.handle(request, [reply = m_reply](admin_reply one) { *reply = std::move(one); });
-        return *m_reply;
+        api.handle(request, [response = m_response](admin_reply one) { *response = std::move(one); });
+        return *m_response;
     }
 
     admin_reply post(const std::string &path, const json &body, const std::string &key = "ada-operator-key")
@@ -65,7 +65,7 @@
         return json::parse(send({"GET", path, query, {}, {}}, "viewer-operator-key").value().body);
     }
 
-    [[nodiscard]] const std::optional<admin_reply> &lastReply() const { return *m_reply; }
+    [[nodiscard]] const std::optional<admin_reply> &lastResponse() const { return *m_response; }
 
     void acknowledge(std::vector<std::string> hosts)
     {
@@ -76,12 +76,12 @@
     }
 
 private:
-    std::shared_ptr<std::optional<admin_reply>> m_reply;
+    std::shared_ptr<std::optional<admin_reply>> m_response;
 };
 
-std::string codeOf(const admin_reply &reply)
+std::string codeOf(const admin_reply &response)
 {
-    return json::parse(reply.body)["error"]["code"];
+    return json::parse(response.body)["error"]["code"];
 }
 
 } // namespace
@@ -98,7 +98,7 @@
     CHECK(test.send({"GET", "/v1/withdraw", {}, {}, {}}, "ada-operator-key")->status == 404);
 }
 
-TEST_CASE("malformed bodies give a typed error that names the field")
+TEST_CASE("malformed bodies yield a typed error that names the field")
 {
     api_fixture test;
     CHECK(test.post("/v1/withdraw", json::array()).status == 400);
@@ -111,7 +111,7 @@
     CHECK(test.post("/v1/withdraw", {{"version", "v9"}, {"change_id", "w"}}).status == 404);
 }
 
-TEST_CASE("a change is pending until it is accepted, and a waiting caller is told")
+TEST_CASE("a change is pending until it is accepted, and waiting requests receive a response then")
 {
     api_fixture test;
     test.acknowledge(hostNames(1, 3));
@@ -123,33 +123,33 @@
     CHECK(test.get("/v1/pending")["pending"].size() == 1);
 
     test.send({"GET", "/v1/acceptance", {{"generation", "2"}, {"wait_ms", "20000"}}, {}, {}}, "viewer-operator-key");
-    CHECK_FALSE(test.lastReply().has_value());
+    CHECK_FALSE(test.lastResponse().has_value());
     test.acknowledge(hostNames(1, 3));
     test.run(milliseconds(1000));
-    REQUIRE(test.lastReply().has_value());
-    CHECK(test.lastReply()->status == 200);
-    CHECK(json::parse(test.lastReply()->body)["state"] == "accepted");
+    REQUIRE(test.lastResponse().has_value());
+    CHECK(test.lastResponse()->status == 200);
+    CHECK(json::parse(test.lastResponse()->body)["state"] == "accepted");
     CHECK(test.get("/v1/pending")["pending"].empty());
-    // The same change id again: no second change.
+    // Retrying with the same change id makes no second change.
     CHECK(json::parse(test.post("/v1/withdraw", {{"version", "v2"}, {"change_id", "w"}}).body)["generation"] == 2);
     CHECK(test.store.config().generation == 2);
 }
 
-TEST_CASE("a waiting caller is answered at the end of its time, and told which hosts are missing")
+TEST_CASE("a waiting request receives the missing hosts when its wait times out")
 {
     api_fixture test;
     test.acknowledge(hostNames(1, 1));
     test.send({"GET", "/v1/acceptance", {{"generation", "1"}, {"wait_ms", "3000"}}, {}, {}}, "viewer-operator-key");
     test.run(milliseconds(2900));
-    CHECK_FALSE(test.lastReply().has_value());
+    CHECK_FALSE(test.lastResponse().has_value());
     test.run(milliseconds(200));
-    REQUIRE(test.lastReply().has_value());
-    CHECK(test.lastReply()->status == 202);
-    CHECK(json::parse(test.lastReply()->body)["unacknowledged_hosts"] == json{"h2", "h3"});
+    REQUIRE(test.lastResponse().has_value());
+    CHECK(test.lastResponse()->status == 202);
+    CHECK(json::parse(test.lastResponse()->body)["unacknowledged_hosts"] == json{"h2", "h3"});
     CHECK(test.api.waiting() == 0);
 }
 
-TEST_CASE("changes record author and time and are published to the time line")
+TEST_CASE("changes record author and time and are reported as events")
 {
     api_fixture test;
     test.run(milliseconds(100));
@@ -159,14 +159,14 @@
     CHECK(change.unixMs == 1'700'000'000'000);
     CHECK(test.events.back().type == "change_published");
     CHECK(test.events.back().generation == 2);
-    // Neither a repeated change nor one without a difference is published again.
+    // Neither a retried change nor one without effect is reported again.
     const auto count = test.events.size();
     CHECK(test.post("/v1/rollout", {{"version", "v2"}, {"action", "halt"}, {"change_id", "h"}}).status == 202);
     CHECK(test.post("/v1/rollout", {{"version", "v2"}, {"action", "halt"}, {"change_id", "i"}}).status == 202);
     CHECK(test.events.size() == count);
 }
 
-TEST_CASE("an apply based on an older generation conflicts where the keys overlap")
+TEST_CASE("an apply based on an older generation conflicts if the same keys have changed since")
 {
     api_fixture test;
     auto mine = controlLayers(3);
@@ -178,12 +178,12 @@
     CHECK(test.post("/v1/apply", body).status == 202);
     auto late = api_fixture::files(theirs, "theirs");
     late["generation"] = 1;
-    const auto reply = test.post("/v1/apply", late);
-    CHECK(reply.status == 409);
-    CHECK(codeOf(reply) == "conflict");
+    const auto response = test.post("/v1/apply", late);
+    CHECK(response.status == 409);
+    CHECK(codeOf(response) == "conflict");
 }
 
-TEST_CASE("apply leaves the registered hosts alone unless they are named")
+TEST_CASE("apply keeps the registered hosts unless the request includes hosts")
 {
     api_fixture test;
     auto body = api_fixture::files(controlLayers(1), "fewer");
@@ -196,7 +196,7 @@
     CHECK_FALSE(test.store.config().layers.base.contains("host h3"));
 }
 
-TEST_CASE("diff and history hide keys of accounts and sessions")
+TEST_CASE("diff and history mask API keys and session keys")
 {
     api_fixture test;
     auto layers = controlLayers(3);
@@ -209,7 +209,7 @@
     CHECK(test.get("/v1/history")["history"].size() == 1);
 }
 
-TEST_CASE("an outage of the store is told apart from a refusal")
+TEST_CASE("a store outage is reported as such, not as a rejected request")
 {
     api_fixture test;
     test.store.outage = true;
@@ -217,19 +217,19 @@
     CHECK(test.get("/v1/status")["store_error"] == "unavailable");
 }
 
-TEST_CASE("check answers without touching the store")
+TEST_CASE("check validates settings without accessing the store")
 {
     api_fixture test;
     test.store.outage = true;
     auto layers = controlLayers(3);
     CHECK(test.post("/v1/check", api_fixture::files(layers, "")).status == 200);
     layers.base["account a"]["burst"] = "0";
-    const auto reply = test.post("/v1/check", api_fixture::files(layers, ""));
-    CHECK(reply.status == 422);
-    CHECK(json::parse(reply.body)["error"]["field"] == "account a/burst");
+    const auto response = test.post("/v1/check", api_fixture::files(layers, ""));
+    CHECK(response.status == 422);
+    CHECK(json::parse(response.body)["error"]["field"] == "account a/burst");
 }
 
-TEST_CASE("operators are read from the settings file and taken out of it")
+TEST_CASE("operator sections are parsed and removed from the settings file")
 {
     const auto read = [](const std::string &text) {
         auto sections = parseIni(text).value();
--- a/tests/test_control_property.cpp
+++ b/tests/test_control_property.cpp
@@ -1,5 +1,6 @@
-// Properties of publishing and of the controller lease under random orders of calls, lost answers, outages and pauses:
-// a change is made at most once and reported truthfully, a withdrawal is final, and two processes never act at once.
+// Properties of publishing and of the controller lease under reordered calls, lost responses, outages and pauses: a
+// change is made at most once and its outcome is reported correctly, a withdrawal is final, and two processes never act
+// at the same time.
 #include "control_fakes_p.h"
 #include "shuffled_store_p.h"
 
@@ -21,13 +22,13 @@
     return rc::check(std::forward<property>(checked));
 }
 
-/// One operator's change and how it ended.
+/// An operator's change and its outcome.
 struct attempted_change {
     change_request request;
     std::optional<result<published_change>> outcome;
 };
 
-/// Operators at several control processes who change a few keys at random moments.
+/// Operators of several control processes that change a few keys at random times.
 class operators_simulation
 {
 public:
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Ends all open calls and changes without further faults.
+    /// Completes all open calls and changes without further faults.
     void settle()
     {
         m_store.outage = false;
@@ -115,7 +116,7 @@
     return std::ranges::count(document.history, changeId, &config_change::changeId) == 1;
 }
 
-/// Layers that the changes of the history make, one after another.
+/// @returns the layers that result from applying the changes of the history in order.
 config_layers replay(const config_document &document)
 {
     config_layers layers;
@@ -129,14 +130,14 @@
     return change.request.edits.front().value == "withdrawn";
 }
 
-/// Checks what an operator was told against what was stored.
-void checkTruthful(const attempted_change &change, const config_document &document)
+/// Checks the outcome reported to an operator against the stored configuration.
+void checkReportedOutcome(const attempted_change &change, const config_document &document)
 {
     RC_ASSERT(change.outcome.has_value());
     const auto &outcome = *change.outcome;
     const bool isMade = isInHistory(document, change.request.changeId);
     if (outcome.has_error()) {
-        // Only a change in doubt may be there although its operator was told of a failure.
+        // A change reported as failed may be stored only if its outcome was reported as unknown.
         RC_ASSERT(!isMade || outcome.error().code == error_code::timed_out);
         return;
     }
@@ -148,7 +149,7 @@
 
 } // namespace
 
-TEST_CASE("property: operators who race over a faulty store are told the truth and changes are made once")
+TEST_CASE("property: concurrent operators on a faulty store get correct outcomes and each change is made once")
 {
     std::size_t published = 0;
     std::size_t conflicts = 0;
@@ -159,24 +160,24 @@
         simulation.settle();
         RC_ASSERT(simulation.isIdle());
         const auto document = simulation.config();
-        // One generation for each change in the history: nothing was overwritten or made twice.
+        // One generation per change in the history: nothing was overwritten or made twice.
         RC_ASSERT(document.history.size() == document.generation);
         RC_ASSERT(replay(document).base == document.layers.base);
         for (const auto &change : simulation.changes()) {
-            checkTruthful(change, document);
+            checkReportedOutcome(change, document);
             const auto &outcome = *change.outcome;
             published += outcome.has_value() ? 1 : 0;
             conflicts += outcome.has_error() && outcome.error().code == error_code::conflict ? 1 : 0;
             inDoubt += outcome.has_error() && outcome.error().code == error_code::timed_out ? 1 : 0;
         }
     }));
-    // The simulation reaches all the ends that it is about.
+    // The simulation must reach each of these outcomes.
     CHECK(published > 0);
     CHECK(conflicts > 0);
     CHECK(inDoubt > 0);
 }
 
-TEST_CASE("property: two control processes never act at once, and each new holder has a higher token")
+TEST_CASE("property: two control processes never act at the same time, and each new holder has a higher token")
 {
     std::size_t terms = 0;
     CHECK(holds([&] {
@@ -210,12 +211,12 @@
             if (holder == leases.end())
                 continue;
             const auto index = static_cast<std::size_t>(holder - leases.begin());
-            const auto least = last == index ? highest : highest + 1;
-            RC_ASSERT((*holder)->token() >= least);
+            const auto minToken = last == index ? highest : highest + 1;
+            RC_ASSERT((*holder)->token() >= minToken);
             terms += last == index ? 0 : 1;
             highest = (*holder)->token();
             last = index;
         }
     }));
-    CHECK(terms > 300); // Some changes of the holder in each case.
+    CHECK(terms > 300); // On average, more than one change of the holder per case.
 }
--- a/tests/test_controller.cpp
+++ b/tests/test_controller.cpp
@@ -1,5 +1,5 @@
-// Controller: acceptance must not be reported while a host can run under an older generation, and at most one process
-// may act for the deployment although holders are paused and answers are lost.
+// Controller: acceptance must not be reported while a host can still run under an older generation, and at most one
+// process may act for the deployment even if holders are paused and responses are lost.
 #include "control_fakes_p.h"
 #include "rollout_p.h"
 
@@ -18,7 +18,8 @@
     return {generation, layers, std::move(history)};
 }
 
-/// Changes up to a generation; the first makes everything, the others have no effect on hosts.
+/// History with one change per generation up to `last`. The first stands for the initial configuration; the others do
+/// not affect hosts.
 std::vector<config_change> plainHistory(generation_number last)
 {
     std::vector<config_change> history;
@@ -35,7 +36,7 @@
     return status;
 }
 
-/// One control process and its ports.
+/// A control process and its ports.
 struct process {
     fake_status status;
     fake_orders orders;
@@ -77,7 +78,7 @@
                     one->control.tick(now, 0);
     }
 
-    /// Both routers report the stored generation as held by these hosts.
+    /// Both routers report that these hosts have acknowledged the stored generation.
     void acknowledge(const std::vector<std::string> &hosts)
     {
         for (auto *one : {&first, &second})
@@ -112,7 +113,7 @@
     CHECK(changes.accepted() == 1);
 }
 
-TEST_CASE("a majority makes a generation accepted a lease and its margin later, not earlier")
+TEST_CASE("a generation acknowledged by a majority is accepted one lease and its margin later, not earlier")
 {
     acceptance changes;
     changes.recordConfiguration(documentOf(controlLayers(3), 1, plainHistory(1)));
@@ -133,11 +134,11 @@
     changes.recordStatus(statusOf(1, hostNames(1, 3)), instant(0));
     changes.tick(milliseconds(60000));
     CHECK(changes.accepted() == 0);
-    changes.recordStatus(statusOf(3, hostNames(1, 3)), instant(0)); // Later ones do.
+    changes.recordStatus(statusOf(3, hostNames(1, 3)), instant(0)); // Acknowledgements of a later generation do.
     CHECK(changes.accepted() == 2);
 }
 
-TEST_CASE("after a host was removed all others' acknowledgements are not enough: it may hold a lease")
+TEST_CASE("after a host was removed, the acknowledgements of all others are not enough, as it may still hold a lease")
 {
     acceptance changes;
     changes.recordConfiguration(documentOf(controlLayers(3), 1, plainHistory(1)));
@@ -155,8 +156,8 @@
     CHECK(changes.accepted() == 3);
 }
 
-// Guards against a majority put together from acknowledgements of different times: in an outage a restarted host may
-// have learnt an older generation from the others, and a majority at the older one goes on dispatching.
+// Guards against a majority counted from acknowledgements of different times: in an outage a restarted host may have
+// received an older generation from its peers, so that a majority at the older generation keeps dispatching.
 TEST_CASE("an acknowledgement that is no longer reported does not count towards a majority")
 {
     acceptance changes;
@@ -171,7 +172,7 @@
     CHECK(changes.accepted() == 1);
 }
 
-TEST_CASE("a shortened lease is not used before the longer one has run out")
+TEST_CASE("a shortened lease does not apply before the longer one has expired")
 {
     acceptance changes;
     auto layers = controlLayers(3);
@@ -201,7 +202,7 @@
     CHECK(changes.accepted() == 80);
 }
 
-TEST_CASE("one of two control processes takes the lease and keeps it")
+TEST_CASE("one of two control processes acquires the lease and keeps it")
 {
     deployment test;
     test.run(milliseconds(60000));
@@ -210,7 +211,7 @@
     CHECK(test.first.count("lease_lost") + test.second.count("lease_lost") == 0);
 }
 
-TEST_CASE("a paused holder doesn't act when it wakes, and its successor has a higher token")
+TEST_CASE("a holder does not act when it resumes after a pause, and its successor has a higher token")
 {
     deployment test;
     test.run(milliseconds(20000));
@@ -232,24 +233,24 @@
     CHECK(other.events.back().reason > holder.events.front().reason);
 }
 
-TEST_CASE("a lease that was read before a pause is dated by the waking, not by the start of the read")
+TEST_CASE("a lease read that completes after a pause is timestamped on resumption, not at the start of the read")
 {
-    class held_store : public fake_store
+    class delayed_read_store : public fake_store
     {
     public:
-        std::function<void()> held; ///< the first read, until the test lets it go
+        std::function<void()> delayedRead; ///< the first read, until the test runs it
         bool isFirst = true;
 
         void read(const std::string &key, read_done done) override
         {
             if (!std::exchange(isFirst, false))
                 return fake_store::read(key, std::move(done));
-            held = [this, key, done = std::move(done)] {
+            delayedRead = [this, key, done = std::move(done)] {
                 fake_store::read(key, done);
             };
         }
     };
-    held_store store;
+    delayed_read_store store;
     const auto renew = [&](std::uint64_t renewal, object_version expected) {
         store.write("lease/controller", encodeLease({"x/1", 5, renewal}), expected,
                     [](const result<object_version> &written) { REQUIRE(written.has_value()); });
@@ -257,9 +258,9 @@
     renew(1, 0);
     controller_lease lease(store, "b/1");
     lease.tick(milliseconds(1), milliseconds(100));
-    // The process is paused; the holder renews at 10 s, and only then is the read answered.
+    // The process is paused; the holder renews at 10 s, and the read completes only after that.
     renew(2, 1);
-    store.held();
+    store.delayedRead();
     for (int ms = 10000; ms < 15900; ms += 50)
         lease.tick(milliseconds(ms), milliseconds(100));
     CHECK(store.writes == 2);
@@ -269,7 +270,7 @@
     CHECK(lease.token() == 6);
 }
 
-TEST_CASE("the holder survives a lost answer of a renewal and stops in an outage")
+TEST_CASE("the holder keeps the lease when the response of a renewal is lost and stops in an outage")
 {
     deployment test;
     test.second.paused = true;
@@ -287,7 +288,7 @@
     CHECK(test.first.control.isHolder());
 }
 
-TEST_CASE("a take-over whose answer is lost is recognised by its holder")
+TEST_CASE("a process that acquired the lease detects it although the response of the write was lost")
 {
     deployment test;
     test.second.paused = true;
@@ -309,7 +310,7 @@
     CHECK(config.history.back().author.starts_with("controller@"));
 }
 
-TEST_CASE("hosts are registered one at a time, each after a majority has acknowledged the one before")
+TEST_CASE("hosts are registered one at a time, each after a majority has acknowledged the previous change")
 {
     deployment test;
     for (auto *one : {&test.first, &test.second})
@@ -319,7 +320,7 @@
     test.acknowledge(hostNames(1, 2));
     test.run(milliseconds(5000));
     CHECK(test.store.config().generation == 2);
-    test.acknowledge(hostNames(1, 2)); // Two of four are no majority.
+    test.acknowledge(hostNames(1, 2)); // Two of four hosts are not a majority.
     test.run(milliseconds(20000));
     CHECK(test.store.config().generation == 2);
     test.acknowledge(hostNames(1, 3));
@@ -327,7 +328,7 @@
     CHECK(test.store.config().generation == 3);
 }
 
-TEST_CASE("a host is removed only after it was off the host list for a while, and never by an empty list")
+TEST_CASE("a host is removed only after it has been missing from the host list for a while, and never by an empty list")
 {
     host_registration registration;
     const auto config = buildFleet(controlLayers(3), 1, "").value();
@@ -344,7 +345,7 @@
     CHECK_FALSE(edits.front().value.has_value());
 }
 
-TEST_CASE("a paused holder that lost the lease adds no second change of hosts")
+TEST_CASE("a holder that lost the lease during a pause publishes no second change of hosts")
 {
     deployment test;
     test.acknowledge(hostNames(1, 3));
@@ -352,20 +353,20 @@
     test.run(milliseconds(10000));
     REQUIRE(test.first.control.isHolder());
     // The successor's change is written between the holder's read and its write.
-    test.store.beforeWrite = [&] {
+    test.store.beforeConfigWrite = [&] {
         config_publisher successor(test.store);
         successor.publish({"other", "controller@h2", 0, 1, {{"", "host h3", "", std::nullopt}}, true},
                           [](const result<published_change> &done) { REQUIRE(done.has_value()); });
     };
     test.first.control.setHosts(entriesOf(hostNames(1, 4)), {});
     test.run(milliseconds(2000));
-    REQUIRE_FALSE(test.store.beforeWrite);
+    REQUIRE_FALSE(test.store.beforeConfigWrite);
     CHECK(test.store.config().generation == 2);
     CHECK(test.first.count("host_registered") == 1);
     CHECK_FALSE(test.store.config().layers.base.contains("host h4"));
 }
 
-TEST_CASE("engines of a version under roll-out get one load order each, with the fencing token")
+TEST_CASE("each engine of a version under roll-out gets one load order with the fencing token")
 {
     deployment test;
     test.acknowledge(hostNames(1, 3));
@@ -383,14 +384,14 @@
     CHECK(test.first.orders.sent[0].version == "v2");
     CHECK(test.first.orders.sent[0].token > 0);
     CHECK(test.first.count("load_confirmed") == 1);
-    // An engine that has seen a higher token ends this process's term.
+    // A conflict from an engine that has seen a higher token ends the term of this process.
     test.first.orders.refusesToken = true;
     test.run(milliseconds(8000));
     CHECK(test.first.count("order_fenced") >= 1);
     CHECK(test.first.count("lease_lost") >= 1);
 }
 
-TEST_CASE("engines that ignore the token get orders only a lease period after the lease was taken")
+TEST_CASE("engines that ignore the token get orders only a lease period after the lease was acquired")
 {
     deployment test;
     test.acknowledge(hostNames(1, 3));
@@ -413,7 +414,7 @@
         return edits.has_error() ? nameOf(edits.error().code) : "ok";
     };
     CHECK(codeOf(rollout_action::step, "v2") == "conflict");
-    CHECK(codeOf(rollout_action::start, "v2") == "conflict"); // It is active: that would take sessions away from it.
+    CHECK(codeOf(rollout_action::start, "v2") == "conflict"); // It is active: a start would move sessions away from it.
     CHECK(codeOf(rollout_action::start, "v9") == "not_found");
     layers.base["version v2"]["state"] = "withdrawn";
     CHECK(codeOf(rollout_action::start, "v2") == "version_reinstated");
--- a/tests/test_object_store_http.cpp
+++ b/tests/test_object_store_http.cpp
@@ -1,4 +1,4 @@
-// Object store client: a wrong error could make the ledger take a write for absent that took effect.
+// Object store client: a wrong error code could make the ledger treat a write that took effect as not written.
 #include "loopback_p.h"
 #include "object_store_http_p.h"
 
@@ -9,7 +9,7 @@
 
 constexpr std::chrono::milliseconds kTimeout{150};
 
-/// Runs one write against a server with the given behaviour.
+/// Runs one write against a server with the given handler.
 result<object_version> writeOnce(loopback &net, const std::function<void(const http_exchange_ptr &)> &serve)
 {
     net.serve = serve;
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("each status of a write maps to its error")
+TEST_CASE("each response status of a write maps to its error code")
 {
     struct expectation {
         int status;
@@ -48,7 +48,7 @@
     }
 }
 
-TEST_CASE("a write sends its condition and key and returns the new version")
+TEST_CASE("a write sends its key and condition and returns the new version")
 {
     loopback net;
     std::string condition;
@@ -67,7 +67,7 @@
     CHECK(body == "body");
 }
 
-TEST_CASE("a write whose connection breaks without an answer is an I/O failure, not a refusal")
+TEST_CASE("a write whose connection closes without a response is an I/O failure, not a refusal")
 {
     loopback net;
     const auto written = writeOnce(net, [](const http_exchange_ptr &exchange) { exchange->drop(); });
@@ -75,19 +75,19 @@
     CHECK(written.error().code == error_code::io_failure);
 }
 
-TEST_CASE("a write without an answer in time is timed out, and a late answer changes nothing")
+TEST_CASE("a write without a timely response times out, and a late response has no effect")
 {
     loopback net;
-    std::vector<http_exchange_ptr> kept;
-    const auto written = writeOnce(net, [&](const http_exchange_ptr &exchange) { kept.push_back(exchange); });
+    std::vector<http_exchange_ptr> openExchanges;
+    const auto written = writeOnce(net, [&](const http_exchange_ptr &exchange) { openExchanges.push_back(exchange); });
     REQUIRE(written.has_error());
     CHECK(written.error().code == error_code::timed_out);
-    kept.front()->reply(201, {}, {{"ETag", "\"1\""}});
+    openExchanges.front()->reply(201, {}, {{"ETag", "\"1\""}});
     net.stopSoon();
     CHECK(net.run());
 }
 
-TEST_CASE("a written object without a valid version counts as unknown")
+TEST_CASE("a successful write without a valid version in the response is an I/O failure")
 {
     loopback net;
     const auto written = writeOnce(net, [](const http_exchange_ptr &exchange) { exchange->reply(200, {}); });
@@ -95,7 +95,7 @@
     CHECK(written.error().code == error_code::io_failure);
 }
 
-TEST_CASE("a platform that does not listen is unavailable: nothing was written")
+TEST_CASE("a refused connection is reported as unavailable: nothing was written")
 {
     loopback net;
     http_endpoint closed{"127.0.0.1", 0};
@@ -114,7 +114,7 @@
     CHECK(codes == std::vector{error_code::unavailable});
 }
 
-TEST_CASE("a listing gives the keys in order and a malformed one is a protocol violation")
+TEST_CASE("a listing returns the keys in order, and a malformed one is a protocol violation")
 {
     loopback net;
     object_store_http store(net.client, net.endpoint, kTimeout);
--- a/tests/test_platform_client.cpp
+++ b/tests/test_platform_client.cpp
@@ -1,11 +1,11 @@
-// Platform client and load reports: a malformed or stale reply must not become an upstream, a rating or a load.
+// Platform client and load reports: a malformed or stale response must not be used as an upstream, a rating or a load.
 #include "load_poller_p.h"
 #include "loopback_p.h"
 #include "platform_client_p.h"
 
 using namespace foxtaildyke;
 
-TEST_CASE("a host list is read, and a state that is not known counts as leaving")
+TEST_CASE("a host list is decoded, and an unknown state is treated as leaving")
 {
     const auto list = decodeHostList(R"({"version":3,"hosts":[
         {"name":"u1","role":"upstream","address":"127.0.0.1","port":7,"state":"live","failure_domain":"d",
@@ -20,7 +20,7 @@
     CHECK(list.value().hosts[1].info.state == host_state::leaving);
 }
 
-TEST_CASE("a malformed host list is refused as a whole")
+TEST_CASE("a malformed host list is rejected entirely")
 {
     for (const char *body : {"", "[]", R"({"version":1})", R"({"version":1,"hosts":[{"name":"u"}]})",
                              R"({"version":1,"hosts":[{"name":"u","address":"a","port":70000000,"state":1}]})"}) {
@@ -31,7 +31,7 @@
     }
 }
 
-TEST_CASE("a rating is a score from 0 to 1, and anything else is no rating")
+TEST_CASE("a rating is a score from 0 to 1, and any other response yields no rating")
 {
     struct expectation {
         int status;
@@ -61,23 +61,24 @@
 
 TEST_CASE("the age of a load report is measured by the upstream's own clock")
 {
-    const auto askedAt = instant(std::chrono::seconds(100));
-    const auto report = decodeLoad(
-        "u", R"({"running":1,"queued":2,"slots":8,"measured_at_ms":1700000000000,"now_ms":1700000000250})", askedAt);
+    const auto requestedAt = instant(std::chrono::seconds(100));
+    const auto report =
+        decodeLoad("u", R"({"running":1,"queued":2,"slots":8,"measured_at_ms":1700000000000,"now_ms":1700000000250})",
+                   requestedAt);
     REQUIRE(report.has_value());
-    CHECK(report->measuredAt == askedAt - std::chrono::milliseconds(250));
+    CHECK(report->measuredAt == requestedAt - std::chrono::milliseconds(250));
     CHECK(report->running == 1);
     CHECK(report->queued == 2);
-    const auto withoutClock = decodeLoad("u", R"({"running":1,"queued":2,"slots":8,"measured_at_ms":1})", askedAt);
-    CHECK(withoutClock->measuredAt == askedAt);
+    const auto withoutClock = decodeLoad("u", R"({"running":1,"queued":2,"slots":8,"measured_at_ms":1})", requestedAt);
+    CHECK(withoutClock->measuredAt == requestedAt);
     const auto backwards =
-        decodeLoad("u", R"({"running":1,"queued":2,"slots":8,"measured_at_ms":9,"now_ms":1})", askedAt);
-    CHECK(backwards->measuredAt == askedAt);
-    CHECK(!decodeLoad("u", R"({"running":-1,"queued":2,"slots":8})", askedAt));
-    CHECK(!decodeLoad("u", "", askedAt));
+        decodeLoad("u", R"({"running":1,"queued":2,"slots":8,"measured_at_ms":9,"now_ms":1})", requestedAt);
+    CHECK(backwards->measuredAt == requestedAt);
+    CHECK(!decodeLoad("u", R"({"running":-1,"queued":2,"slots":8})", requestedAt));
+    CHECK(!decodeLoad("u", "", requestedAt));
 }
 
-TEST_CASE("a host uses a bounded subset of each version that changes little when a replica goes")
+TEST_CASE("a host uses a bounded subset of each version's replicas that changes little when a replica is removed")
 {
     constexpr std::size_t kReplicas = 300;
     constexpr std::size_t kLimit = 64;
@@ -96,14 +97,14 @@
     };
     CHECK(std::ranges::count_if(replicaSubset("host-2", all, kLimit), isFirst)
           < static_cast<std::ptrdiff_t>(kReplicas / 3));
-    const auto gone = first.front().name;
-    std::erase_if(all, [&](const upstream_info &info) { return info.name == gone; });
+    const auto removed = first.front().name;
+    std::erase_if(all, [&](const upstream_info &info) { return info.name == removed; });
     const auto second = replicaSubset("host-1", all, kLimit);
     CHECK(second.size() == 2 * kLimit);
     CHECK(std::ranges::count_if(second, isFirst) == static_cast<std::ptrdiff_t>(2 * kLimit - 1));
 }
 
-TEST_CASE("a leaving replica stays visible but takes no place of a live one")
+TEST_CASE("a leaving replica remains in the subset but does not displace a live one")
 {
     std::vector<upstream_info> all(3);
     for (std::size_t number = 0; number < all.size(); ++number) {
@@ -115,8 +116,8 @@
     CHECK(used.size() == 3);
 }
 
-// Guards against a host list of thousands of replicas that every host reads and parses each second.
-TEST_CASE("a host list whose version is known is not sent again")
+// Guards against every host downloading and parsing a list of thousands of replicas each second.
+TEST_CASE("a host list of a known version is not sent again")
 {
     loopback net;
     platform_client platform(net.client, net.endpoint);
@@ -126,14 +127,14 @@
         exchange->reply(200, R"({"version":7,"hosts":[]})");
     };
     std::vector<std::optional<std::uint64_t>> versions;
-    const auto note = [&](const result<std::optional<host_list>> &list) {
+    const auto recordVersion = [&](const result<std::optional<host_list>> &list) {
         REQUIRE(list.has_value());
         versions.push_back(list.value() ? std::optional(list.value()->version) : std::nullopt);
         net.loop.stop();
     };
-    platform.hosts(std::nullopt, note);
+    platform.hosts(std::nullopt, recordVersion);
     REQUIRE(net.run());
-    platform.hosts(7, note);
+    platform.hosts(7, recordVersion);
     REQUIRE(net.run());
     CHECK(versions == std::vector<std::optional<std::uint64_t>>{7, std::nullopt});
 }
--- a/tests/test_publisher.cpp
+++ b/tests/test_publisher.cpp
@@ -1,5 +1,5 @@
-// Publishing of changes: a lost answer must not make a second change or hide the first, and operators that race must
-// not overwrite each other or undo a withdrawal.
+// Publishing of changes: a lost response must neither cause a second change nor hide the first, and concurrent
+// operators must not overwrite each other or undo a withdrawal.
 #include "control_fakes_p.h"
 
 #include <doctest/doctest.h>
@@ -32,7 +32,7 @@
         return outcome;
     }
 
-    /// Publishes and lets time pass until the change has ended.
+    /// Publishes a change and advances time until it has completed.
     result<published_change> *publish(const std::string &id, generation_number seen, std::vector<config_edit> edits)
     {
         m_last = start(id, seen, std::move(edits));
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("a change raises the generation by one and records author and edits")
+TEST_CASE("a change increments the generation and records author and edits")
 {
     fixture test;
     const auto *outcome = test.publish("c1", 1, {setBurst("5")});
@@ -81,7 +81,7 @@
     CHECK(document.history.back().edits.at(0).value == "5");
 }
 
-TEST_CASE("a write whose answer is lost is found by its change id and made once")
+TEST_CASE("a write whose response is lost is found by its change id and made once")
 {
     fixture test;
     test.store.faults = {write_fault::answer_lost};
@@ -91,7 +91,7 @@
     CHECK(test.store.config().generation == 2);
 }
 
-TEST_CASE("a write that never arrived is written again")
+TEST_CASE("a write that never arrived is retried")
 {
     fixture test;
     test.store.faults = {write_fault::never_arrives, write_fault::never_arrives};
@@ -104,19 +104,19 @@
     fixture test;
     test.store.faults = {write_fault::arrives_late};
     CHECK(test.publish("c1", 1, {setBurst("5")})->value().generation == 2);
-    test.store.deliverLate();
+    test.store.deliverDelayed();
     CHECK(test.store.config().generation == 2);
 
     test.store.faults = {write_fault::arrives_late};
     const auto second = test.start("c2", 2, {setBurst("6")});
-    test.store.deliverLate(); // Before the read that settles it.
+    test.store.deliverDelayed(); // Before the read that resolves the outcome.
     test.run(milliseconds(1000));
     REQUIRE(second->has_value());
     CHECK((*second)->value().generation == 3);
     CHECK(test.store.config().generation == 3);
 }
 
-TEST_CASE("a repeated change id gives the generation it made")
+TEST_CASE("a retried change id returns the generation of the first attempt")
 {
     fixture test;
     CHECK(test.publish("c1", 1, {setBurst("5")})->value().generation == 2);
@@ -125,7 +125,7 @@
     CHECK(test.valueOfKey("account a", "burst") == "6");
 }
 
-TEST_CASE("an outage that ends in time only delays a change, and a longer one says that nothing was written")
+TEST_CASE("a short outage delays a change, and a longer one reports that nothing was written")
 {
     fixture test;
     test.store.outage = true;
@@ -144,11 +144,11 @@
     CHECK(test.store.config().generation == 2);
 }
 
-TEST_CASE("a write in doubt at the end of the time is reported as such")
+TEST_CASE("a write whose outcome is unknown at the timeout is reported as timed out")
 {
     fixture test;
     test.store.faults = {write_fault::answer_lost};
-    test.store.beforeWrite = [&] {
+    test.store.beforeConfigWrite = [&] {
         test.store.outage = false;
     };
     const auto outcome = test.start("c1", 1, {setBurst("5")});
@@ -157,13 +157,13 @@
     REQUIRE(outcome->has_value());
     REQUIRE((*outcome)->has_error());
     CHECK((*outcome)->error().code == error_code::timed_out);
-    // The operator repeats it with the same id when the store is back.
+    // The operator retries with the same id once the store is available.
     test.store.outage = false;
     CHECK(test.publish("c1", 1, {setBurst("5")})->value().generation == 2);
     CHECK(test.store.config().generation == 2);
 }
 
-TEST_CASE("two operators who change the same key: the second gets conflict")
+TEST_CASE("of two operators who change the same key, the second gets a conflict")
 {
     fixture test;
     CHECK(test.publish("c1", 1, {setBurst("5")})->has_value());
@@ -177,11 +177,11 @@
     CHECK(removal->error().code == error_code::conflict);
 }
 
-TEST_CASE("two operators at once who change different keys both succeed")
+TEST_CASE("concurrent changes of different keys both succeed")
 {
     fixture test;
     std::shared_ptr<std::optional<result<published_change>>> other;
-    test.store.beforeWrite = [&] {
+    test.store.beforeConfigWrite = [&] {
         other = test.start("c2", 1, {setConcurrency("7")});
     };
     CHECK(test.publish("c1", 1, {setBurst("5")})->value().generation == 3);
@@ -215,7 +215,7 @@
     const auto *raced = test.publish("c4", 3, {{"", "version v2", "state", "rolling_out"}});
     REQUIRE(raced->has_error());
     CHECK(raced->error().code == error_code::conflict);
-    // Withdrawing it again makes no new generation.
+    // A second withdrawal creates no new generation.
     CHECK(test.publish("w2", 1, {withdrawalOf("v2")})->value().generation == 4);
     CHECK(test.valueOfKey("version v2", "state") == "withdrawn");
     CHECK(test.publish("w3", 1, {withdrawalOf("v9")})->error().code == error_code::not_found);
