--- a/src/event_log.cpp
+++ b/src/event_log.cpp
@@ -58,7 +58,7 @@
     log4cxx::Logger::getLogger(m_loggerName)->log(s_info, line, log4cxx::spi::LocationInfo::getLocationUnavailable());
 }
 
-void event_log::note(std::string type, std::string reason, generation_number generation)
+void event_log::recordEvent(std::string type, std::string reason, generation_number generation)
 {
     record_event event;
     event.type = std::move(type);
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -83,30 +83,30 @@
     m_impl->duration.Observe(seconds(duration));
 }
 
-void metrics::noteFirstToken(std::chrono::microseconds duration)
+void metrics::recordFirstToken(std::chrono::microseconds duration)
 {
     m_impl->firstToken.Observe(seconds(duration));
 }
 
-void metrics::noteAttempt(std::string_view version, std::optional<attempt_failure> failure)
+void metrics::recordAttempt(std::string_view version, std::optional<attempt_failure> failure)
 {
     const std::string end(failure ? nameOf(*failure) : "complete");
     m_impl->attempts.Add({{"version", std::string(version)}, {"end", end}}).Increment();
 }
 
-void metrics::noteBill(std::uint32_t promptTokens, std::uint32_t completionTokens, std::uint64_t costMicroUnits)
+void metrics::recordBill(std::uint32_t promptTokens, std::uint32_t completionTokens, std::uint64_t costMicroUnits)
 {
     m_impl->tokens.Add({{"type", "prompt"}}).Increment(promptTokens);
     m_impl->tokens.Add({{"type", "completion"}}).Increment(completionTokens);
     m_impl->cost.Increment(static_cast<double>(costMicroUnits));
 }
 
-void metrics::noteForeignEvent()
+void metrics::recordForeignEvent()
 {
     m_impl->foreign.Increment();
 }
 
-void metrics::notePlatformCall(std::string_view name, std::string_view end)
+void metrics::recordPlatformCall(std::string_view name, std::string_view end)
 {
     m_impl->platform.Add({{"call", std::string(name)}, {"end", std::string(end)}}).Increment();
 }
--- a/src/metrics_p.h
+++ b/src/metrics_p.h
@@ -21,19 +21,19 @@
     void recordRequest(outcome_kind outcome, reason_code reason, std::chrono::microseconds duration);
 
     /// Takes the time from arrival to the first part of a streamed answer.
-    void noteFirstToken(std::chrono::microseconds duration);
+    void recordFirstToken(std::chrono::microseconds duration);
 
     /// Counts an ended attempt. @param failure nothing: whole answer.
-    void noteAttempt(std::string_view version, std::optional<attempt_failure> failure);
+    void recordAttempt(std::string_view version, std::optional<attempt_failure> failure);
 
     /// Counts tokens and cost of a billed answer.
-    void noteBill(std::uint32_t promptTokens, std::uint32_t completionTokens, std::uint64_t costMicroUnits);
+    void recordBill(std::uint32_t promptTokens, std::uint32_t completionTokens, std::uint64_t costMicroUnits);
 
     /// Counts an event of another attempt that an upstream sent.
-    void noteForeignEvent();
+    void recordForeignEvent();
 
     /// Counts a call to the platform. @param name of the call, for example "read". @param end "ok" or an error name.
-    void notePlatformCall(std::string_view name, std::string_view end);
+    void recordPlatformCall(std::string_view name, std::string_view end);
 
     void setOpenRequests(std::size_t count);
     void setGeneration(generation_number generation);
--- a/src/router_task.cpp
+++ b/src/router_task.cpp
@@ -30,7 +30,7 @@
     , m_log("router", m_settings.host, m_settings.log)
     , m_client(m_loop)
     , m_store(m_client, m_settings.platform, object_store_http::kDefaultTimeout,
-              [this](std::string_view name, std::string_view end) { m_metrics.notePlatformCall(name, end); })
+              [this](std::string_view name, std::string_view end) { m_metrics.recordPlatformCall(name, end); })
     , m_platform(m_client, m_settings.platform)
     , m_core(m_settings.host, m_settings.failureDomain, randomSeed())
     , m_upstreams(m_loop, m_client, m_settings.host, sink())
@@ -76,7 +76,7 @@
     }
     m_loop.onSignal(SIGTERM, [this] { drain(); });
     m_loop.onSignal(SIGINT, [this] { drain(); });
-    m_log.note("started", m_settings.listen.address + ':' + std::to_string(m_callerPort));
+    m_log.recordEvent("started", m_settings.listen.address + ':' + std::to_string(m_callerPort));
     m_ports.config->start();
     pollPlatform();
     return BOOST_OUTCOME_V2_NAMESPACE::success();
@@ -144,7 +144,7 @@
     const auto found = m_attemptVersions.find(static_cast<std::uint64_t>(attempt));
     if (found == m_attemptVersions.end())
         return;
-    m_metrics.noteAttempt(found->second, failure);
+    m_metrics.recordAttempt(found->second, failure);
     m_attemptVersions.erase(found);
 }
 
@@ -165,7 +165,7 @@
     if (!m_callers.chunk(action))
         return;
     if (const auto arrival = m_callers.arrivalOf(action.request))
-        m_metrics.noteFirstToken(event_loop::now() - *arrival);
+        m_metrics.recordFirstToken(event_loop::now() - *arrival);
 }
 
 void router_task::perform(const finish_request &action)
@@ -182,7 +182,7 @@
 
 void router_task::perform(const write_bill &action)
 {
-    m_metrics.noteBill(action.promptTokens, action.completionTokens, action.costMicroUnits);
+    m_metrics.recordBill(action.promptTokens, action.completionTokens, action.costMicroUnits);
     m_ports.ledger->bill(action);
 }
 
@@ -249,7 +249,7 @@
     tellPorts([&](port_events &port) { port.onEntryHosts(entryHosts); });
     upstreams = replicaSubset(m_settings.host, std::move(upstreams));
     m_loads.setUpstreams(upstreams);
-    m_log.note("host_list_changed", "version " + std::to_string(*m_hostListVersion));
+    m_log.recordEvent("host_list_changed", "version " + std::to_string(*m_hostListVersion));
     deliver(upstreams_changed{std::move(upstreams)});
 }
 
@@ -266,7 +266,7 @@
     m_metrics.setOpenRequests(m_core.openRequests());
     m_metrics.setLeaseRemaining(std::max(instant{}, m_leaseEnd - event_loop::now()));
     for (; m_foreignEventsSeen < m_upstreams.foreignEvents(); ++m_foreignEventsSeen)
-        m_metrics.noteForeignEvent();
+        m_metrics.recordForeignEvent();
     return m_metrics.text();
 }
 
@@ -275,7 +275,7 @@
     if (std::exchange(m_isDraining, true))
         return;
     m_drainStart = event_loop::now();
-    m_log.note("drain_started");
+    m_log.recordEvent("drain_started");
     m_callers.drain();
     tellPorts([](port_events &port) { port.onDrain(); });
     deliver(drain_request{});
@@ -289,7 +289,7 @@
         m_drainTimer.start(kDrainCheckPeriod);
         return;
     }
-    m_log.note("drained");
+    m_log.recordEvent("drained");
     m_loop.stop();
 }
 
--- a/tests/test_event_log.cpp
+++ b/tests/test_event_log.cpp
@@ -37,8 +37,8 @@
     close(descriptor);
     {
         event_log log("router", "h1", path);
-        log.note("first");
-        log.note("second", "why", 2);
+        log.recordEvent("first");
+        log.recordEvent("second", "why", 2);
     }
     std::ifstream file(path);
     std::vector<nlohmann::json> lines;
@@ -57,8 +57,8 @@
     metrics stats;
     stats.recordRequest(outcome_kind::complete, reason_code::none, std::chrono::milliseconds(20));
     stats.recordRequest(outcome_kind::not_run, reason_code::draining, std::chrono::milliseconds(1));
-    stats.noteAttempt("m-1", attempt_failure::truncated);
-    stats.noteBill(10, 20, 300);
+    stats.recordAttempt("m-1", attempt_failure::truncated);
+    stats.recordBill(10, 20, 300);
     const auto text = stats.text();
     for (const char *line :
          {"foxtaildyke_requests_total{outcome=\"complete\",reason=\"none\"} 1",
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -25,8 +25,8 @@
     CHECK_MESSAGE(simulation.transcript() == expected, "differs from ", path, "\n", simulation.transcript());
 }
 
-void foxtaildyke::test::checkAnswer(core_simulation &simulation, request_token request, outcome_kind outcome,
-                                    reason_code reason)
+void foxtaildyke::test::checkResponse(core_simulation &simulation, request_token request, outcome_kind outcome,
+                                      reason_code reason)
 {
     const auto &responses = simulation.responses(request);
     REQUIRE(responses.size() == 1);
@@ -45,7 +45,7 @@
     };
     const auto draft = simulation.submit(10ms, "appeal-draft");
     simulation.run(5s);
-    checkAnswer(simulation, draft, outcome_kind::complete);
+    checkResponse(simulation, draft, outcome_kind::complete);
     checkGolden("appeal-draft", simulation);
 }
 
@@ -58,8 +58,8 @@
         request.prompt = "prompt 1";
     });
     simulation.run(5s);
-    checkAnswer(simulation, first, outcome_kind::complete);
-    checkAnswer(simulation, resend, outcome_kind::complete);
+    checkResponse(simulation, first, outcome_kind::complete);
+    checkResponse(simulation, resend, outcome_kind::complete);
     CHECK(!simulation.responses(resend).front().storedResponse.empty());
     checkGolden("docket-status", simulation);
 }
@@ -74,8 +74,8 @@
     const auto resend =
         simulation.submit(200ms, "receipt-check", [](caller_request &request) { request.requestId = "1790000000-r1"; });
     simulation.run(5s);
-    checkAnswer(simulation, first, outcome_kind::failed_after_run, reason_code::upstream_failed);
-    checkAnswer(simulation, resend, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
+    checkResponse(simulation, first, outcome_kind::failed_after_run, reason_code::upstream_failed);
+    checkResponse(simulation, resend, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
     checkGolden("receipt-check", simulation);
 }
 
@@ -85,7 +85,7 @@
     const auto first =
         simulation.submit(10ms, "release-summary", [](caller_request &request) { request.sessionId = "release-7"; });
     simulation.run(200ms);
-    checkAnswer(simulation, first, outcome_kind::complete);
+    checkResponse(simulation, first, outcome_kind::complete);
     const auto token = simulation.responses(first).front().sessionToken;
     const auto second = simulation.submit(300ms, "release-summary", [&](caller_request &request) {
         request.sessionId = "release-7";
@@ -96,8 +96,8 @@
         request.sessionToken = token;
     });
     simulation.run(5s);
-    checkAnswer(simulation, second, outcome_kind::complete);
-    checkAnswer(simulation, forged, outcome_kind::invalid, reason_code::invalid_session_token);
+    checkResponse(simulation, second, outcome_kind::complete);
+    checkResponse(simulation, forged, outcome_kind::invalid, reason_code::invalid_session_token);
     checkGolden("release-summary", simulation);
 }
 
@@ -117,11 +117,11 @@
     const auto fourth = simulation.submit(13ms, "page-tag");
     const auto late = simulation.submit(3500ms, "page-tag", [](caller_request &request) { request.deadline = 1s; });
     simulation.run(20s);
-    checkAnswer(simulation, first, outcome_kind::complete);
-    checkAnswer(simulation, second, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
-    checkAnswer(simulation, third, outcome_kind::not_run, reason_code::deadline_unreachable);
-    checkAnswer(simulation, fourth, outcome_kind::not_run, reason_code::deadline_unreachable);
-    checkAnswer(simulation, late, outcome_kind::not_run, reason_code::deadline_unreachable);
+    checkResponse(simulation, first, outcome_kind::complete);
+    checkResponse(simulation, second, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
+    checkResponse(simulation, third, outcome_kind::not_run, reason_code::deadline_unreachable);
+    checkResponse(simulation, fourth, outcome_kind::not_run, reason_code::deadline_unreachable);
+    checkResponse(simulation, late, outcome_kind::not_run, reason_code::deadline_unreachable);
     checkGolden("page-tag", simulation);
 }
 
@@ -137,8 +137,8 @@
     const auto first = simulation.submit(10ms, "dossier-summary");
     const auto second = simulation.submit(20ms, "dossier-summary");
     simulation.run(60s);
-    checkAnswer(simulation, first, outcome_kind::complete);
-    checkAnswer(simulation, second, outcome_kind::complete);
+    checkResponse(simulation, first, outcome_kind::complete);
+    checkResponse(simulation, second, outcome_kind::complete);
     checkGolden("dossier-summary", simulation);
 }
 
@@ -155,8 +155,8 @@
     const auto draft = simulation.submit(10ms, "reminder-draft");
     const auto cut = simulation.submit(500ms, "reminder-draft");
     simulation.run(60s);
-    checkAnswer(simulation, draft, outcome_kind::complete);
-    checkAnswer(simulation, cut, outcome_kind::failed_after_run, reason_code::answer_truncated);
+    checkResponse(simulation, draft, outcome_kind::complete);
+    checkResponse(simulation, cut, outcome_kind::failed_after_run, reason_code::answer_truncated);
     checkGolden("reminder-draft", simulation);
 }
 
@@ -174,7 +174,7 @@
     const auto fourth = simulation.submit(1500ms, "tone-check");
     simulation.run(10s);
     for (const auto request : {first, second, third, fourth})
-        checkAnswer(simulation, request, outcome_kind::complete);
+        checkResponse(simulation, request, outcome_kind::complete);
     checkGolden("tone-check", simulation);
 }
 
@@ -190,8 +190,8 @@
     const auto hanging =
         simulation.submit(500ms, "ledger-lookup", [](caller_request &request) { request.stream = true; });
     simulation.run(10s);
-    checkAnswer(simulation, whole, outcome_kind::complete);
-    checkAnswer(simulation, hanging, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
+    checkResponse(simulation, whole, outcome_kind::complete);
+    checkResponse(simulation, hanging, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
     checkGolden("ledger-lookup", simulation);
 }
 
@@ -207,10 +207,10 @@
     simulation.call(1000ms, "the store is down", [&] { simulation.ledger.down = true; });
     const auto refused = simulation.submit(1100ms, "payment-promise");
     simulation.run(10s);
-    checkAnswer(simulation, lost, outcome_kind::complete);
-    checkAnswer(simulation, twin, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
-    checkAnswer(simulation, resend, outcome_kind::complete);
-    checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::store_unavailable);
+    checkResponse(simulation, lost, outcome_kind::complete);
+    checkResponse(simulation, twin, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
+    checkResponse(simulation, resend, outcome_kind::complete);
+    checkResponse(simulation, refused, outcome_kind::not_run, reason_code::store_unavailable);
     CHECK(simulation.ledger.billsAccepted == 1);
     checkGolden("payment-promise", simulation);
 }
--- a/tests/test_golden_ledger.cpp
+++ b/tests/test_golden_ledger.cpp
@@ -40,10 +40,10 @@
     const auto other = simulation.submit(1700ms, "payment-promise",
                                          [](caller_request &request) { request.requestId = "1790000000-other"; });
     simulation.run(10s);
-    checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::no_upstream);
-    checkAnswer(simulation, resend, outcome_kind::complete);
-    checkAnswer(simulation, again, outcome_kind::complete);
-    checkAnswer(simulation, other, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
+    checkResponse(simulation, refused, outcome_kind::not_run, reason_code::no_upstream);
+    checkResponse(simulation, resend, outcome_kind::complete);
+    checkResponse(simulation, again, outcome_kind::complete);
+    checkResponse(simulation, other, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
     CHECK(simulation.ledger.billsAccepted == 1);
     checkGolden("unsent-claim", simulation);
 }
@@ -59,9 +59,9 @@
     const auto early = simulation.submit(500ms, "payment-promise", resendFirst);
     const auto resend = simulation.submit(1500ms, "payment-promise", resendFirst);
     simulation.run(20s);
-    checkAnswer(simulation, late, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
-    checkAnswer(simulation, early, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
-    checkAnswer(simulation, resend, outcome_kind::complete);
+    checkResponse(simulation, late, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
+    checkResponse(simulation, early, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
+    checkResponse(simulation, resend, outcome_kind::complete);
     checkGolden("late-bill", simulation);
 }
 
@@ -84,9 +84,9 @@
     });
     const auto copied = simulation.submit(12100ms, "ledger-lookup");
     simulation.run(20s);
-    checkAnswer(simulation, claim, outcome_kind::may_have_run, reason_code::store_unavailable);
-    checkAnswer(simulation, bill, outcome_kind::failed_after_run, reason_code::store_unavailable);
-    checkAnswer(simulation, pin, outcome_kind::not_run, reason_code::store_unavailable);
-    checkAnswer(simulation, copied, outcome_kind::complete);
+    checkResponse(simulation, claim, outcome_kind::may_have_run, reason_code::store_unavailable);
+    checkResponse(simulation, bill, outcome_kind::failed_after_run, reason_code::store_unavailable);
+    checkResponse(simulation, pin, outcome_kind::not_run, reason_code::store_unavailable);
+    checkResponse(simulation, copied, outcome_kind::complete);
     checkGolden("lost-ledger-replies", simulation);
 }
--- a/tests/test_golden_operation.cpp
+++ b/tests/test_golden_operation.cpp
@@ -71,7 +71,7 @@
     simulation.run(5s);
     CHECK(simulation.responses(before).front().version == "brush-1");
     for (const auto request : requests)
-        checkAnswer(simulation, request, outcome_kind::complete);
+        checkResponse(simulation, request, outcome_kind::complete);
     CHECK(simulation.responses(requests[5]).front().version == "brush-1");
     CHECK(simulation.responses(requests[6]).front().version == "brush-2");
     checkGolden("roll-out", simulation);
@@ -95,7 +95,7 @@
     inSession(3000ms, "session-0");
     simulation.run(6s);
     for (const auto request : requests)
-        checkAnswer(simulation, request, outcome_kind::complete);
+        checkResponse(simulation, request, outcome_kind::complete);
     CHECK(simulation.responses(requests[0]).front().version == "brush-2");
     CHECK(simulation.responses(requests[11]).front().version == "brush-1");
     CHECK(simulation.responses(requests[12]).front().version == "brush-2");
@@ -120,11 +120,11 @@
     const auto after = inSession(500ms);
     const auto fresh = simulation.submit(600ms, "page-tag");
     simulation.run(6s);
-    checkAnswer(simulation, before, outcome_kind::complete);
-    checkAnswer(simulation, during, outcome_kind::failed_after_run, reason_code::session_version_withdrawn);
-    checkAnswer(simulation, alone, outcome_kind::complete);
-    checkAnswer(simulation, after, outcome_kind::not_run, reason_code::session_version_withdrawn);
-    checkAnswer(simulation, fresh, outcome_kind::complete);
+    checkResponse(simulation, before, outcome_kind::complete);
+    checkResponse(simulation, during, outcome_kind::failed_after_run, reason_code::session_version_withdrawn);
+    checkResponse(simulation, alone, outcome_kind::complete);
+    checkResponse(simulation, after, outcome_kind::not_run, reason_code::session_version_withdrawn);
+    checkResponse(simulation, fresh, outcome_kind::complete);
     CHECK(simulation.responses(alone).front().version == "brush-1");
     CHECK(simulation.responses(fresh).front().version == "brush-1");
     checkGolden("withdrawal-in-session", simulation);
@@ -146,8 +146,8 @@
     const auto better = simulation.submit(10ms, "appeal-draft", [](caller_request &request) { request.stream = true; });
     const auto kept = simulation.submit(20ms, "appeal-draft");
     simulation.run(10s);
-    checkAnswer(simulation, better, outcome_kind::complete);
-    checkAnswer(simulation, kept, outcome_kind::complete);
+    checkResponse(simulation, better, outcome_kind::complete);
+    checkResponse(simulation, kept, outcome_kind::complete);
     CHECK(simulation.responses(better).front().version == "scroll-1");
     CHECK(simulation.responses(kept).front().text == "short draft");
     checkGolden("escalation", simulation);
@@ -168,8 +168,8 @@
     simulation.at(1602ms,
                   ledger_response{.request = other, .step = ledger_step::claim, .status = ledger_status::written});
     simulation.run(10s);
-    checkAnswer(simulation, late, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
-    checkAnswer(simulation, other, outcome_kind::complete);
+    checkResponse(simulation, late, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
+    checkResponse(simulation, other, outcome_kind::complete);
     CHECK(simulation.responses(other).front().text == "own");
     checkGolden("late-and-crossed-answers", simulation);
 }
@@ -193,10 +193,10 @@
     const auto healthy = simulation.submit(600ms, "page-tag");
     const auto later = simulation.submit(700s, "page-tag", poison);
     simulation.run(720s);
-    checkAnswer(simulation, first, outcome_kind::failed_after_run, reason_code::quarantined);
-    checkAnswer(simulation, again, outcome_kind::not_run, reason_code::quarantined);
-    checkAnswer(simulation, healthy, outcome_kind::complete);
-    checkAnswer(simulation, later, outcome_kind::failed_after_run, reason_code::upstream_failed);
+    checkResponse(simulation, first, outcome_kind::failed_after_run, reason_code::quarantined);
+    checkResponse(simulation, again, outcome_kind::not_run, reason_code::quarantined);
+    checkResponse(simulation, healthy, outcome_kind::complete);
+    checkResponse(simulation, later, outcome_kind::failed_after_run, reason_code::upstream_failed);
     checkGolden("quarantine", simulation);
 }
 
@@ -211,10 +211,10 @@
     const auto third = simulation.submit(30ms, "ledger-lookup");
     const auto later = simulation.submit(3000ms, "ledger-lookup");
     simulation.run(10s);
-    checkAnswer(simulation, first, outcome_kind::complete);
-    checkAnswer(simulation, second, outcome_kind::complete);
-    checkAnswer(simulation, third, outcome_kind::not_run, reason_code::rate_limited);
-    checkAnswer(simulation, later, outcome_kind::complete);
+    checkResponse(simulation, first, outcome_kind::complete);
+    checkResponse(simulation, second, outcome_kind::complete);
+    checkResponse(simulation, third, outcome_kind::not_run, reason_code::rate_limited);
+    checkResponse(simulation, later, outcome_kind::complete);
     checkGolden("quota-exhaustion", simulation);
 }
 
@@ -230,9 +230,9 @@
     simulation.at(30ms, drain_request{});
     const auto refused = simulation.submit(40ms, "appeal-draft");
     simulation.run(10s);
-    checkAnswer(simulation, running, outcome_kind::complete);
-    checkAnswer(simulation, queued, outcome_kind::complete);
-    checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::draining);
+    checkResponse(simulation, running, outcome_kind::complete);
+    checkResponse(simulation, queued, outcome_kind::complete);
+    checkResponse(simulation, refused, outcome_kind::not_run, reason_code::draining);
     checkGolden("planned-stop", simulation);
 }
 
@@ -250,8 +250,8 @@
     simulation.at(2500ms, lease_changed{1, 60s});
     const auto served = simulation.submit(2600ms, "appeal-draft");
     simulation.run(10s);
-    checkAnswer(simulation, retried, outcome_kind::failed_after_run, reason_code::no_fresh_configuration);
-    checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::no_fresh_configuration);
-    checkAnswer(simulation, served, outcome_kind::complete);
+    checkResponse(simulation, retried, outcome_kind::failed_after_run, reason_code::no_fresh_configuration);
+    checkResponse(simulation, refused, outcome_kind::not_run, reason_code::no_fresh_configuration);
+    checkResponse(simulation, served, outcome_kind::complete);
     checkGolden("lease-lost", simulation);
 }
--- a/tools/control_p.h
+++ b/tools/control_p.h
@@ -48,7 +48,7 @@
     void pollHosts();
     void takeHosts(const host_list &list);
     void serve(const http_exchange_ptr &exchange);
-    void note(const controller_event &event);
+    void recordEvent(const controller_event &event);
     [[nodiscard]] std::string metricsText() const;
 
     control_settings m_settings;
--- a/tools/control_process.cpp
+++ b/tools/control_process.cpp
@@ -87,12 +87,12 @@
     , m_log("control", m_settings.process.host, m_settings.process.log)
     , m_client(loop)
     , m_store(m_client, m_settings.process.platform, object_store_http::kDefaultTimeout,
-              [this](std::string_view name, std::string_view end) { m_metrics.notePlatformCall(name, end); })
+              [this](std::string_view name, std::string_view end) { m_metrics.recordPlatformCall(name, end); })
     , m_platform(m_client, m_settings.process.platform)
     , m_orders(m_client)
     , m_controller(m_store, router, m_orders, m_settings.process.host, makeIncarnation(),
-                   [this](const controller_event &event) { note(event); })
-    , m_api(m_controller, m_settings.operators, [this](const controller_event &event) { note(event); })
+                   [this](const controller_event &event) { recordEvent(event); })
+    , m_api(m_controller, m_settings.operators, [this](const controller_event &event) { recordEvent(event); })
     , m_server(loop, [this](const http_exchange_ptr &exchange) { serve(exchange); })
     , m_timer(loop, [this] { tick(); })
 {
@@ -105,7 +105,7 @@
         return port.error();
     m_loop.onSignal(SIGTERM, [this] { m_loop.stop(); });
     m_loop.onSignal(SIGINT, [this] { m_loop.stop(); });
-    m_log.note("started", m_settings.process.adminListen.address + ':' + std::to_string(port.value()));
+    m_log.recordEvent("started", m_settings.process.adminListen.address + ':' + std::to_string(port.value()));
     tick();
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
@@ -167,7 +167,7 @@
     });
 }
 
-void control_process::note(const controller_event &event)
+void control_process::recordEvent(const controller_event &event)
 {
     ++m_eventCounts[event.type];
     record_event record;
--- a/tools/router_main.cpp
+++ b/tools/router_main.cpp
@@ -44,17 +44,19 @@
 
 router_ports makePorts(router_task &task)
 {
-    const auto note = [&task](std::string type, std::string reason, generation_number generation) {
-        task.log().note(std::move(type), std::move(reason), generation);
+    const auto recordEvent = [&task](std::string type, std::string reason, generation_number generation) {
+        task.log().recordEvent(std::move(type), std::move(reason), generation);
     };
     if (!task.settings().peerListen.address.empty()) {
-        const auto relay = std::make_shared<relay_task>(task.loop(), task.store(), task.settings(), task.sink(), note);
+        const auto relay =
+            std::make_shared<relay_task>(task.loop(), task.store(), task.settings(), task.sink(), recordEvent);
         return {std::make_unique<relay_config>(relay),
                 std::make_unique<relay_ledger>(task.loop(), task.store(), relay, task.settings().host, runName(),
                                                task.sink()),
                 std::make_unique<relay_sharing>(relay)};
     }
-    return {std::make_unique<store_config>(task.loop(), task.store(), task.settings().failureDomain, task.sink(), note),
+    return {std::make_unique<store_config>(task.loop(), task.store(), task.settings().failureDomain, task.sink(),
+                                           recordEvent),
             std::make_unique<store_ledger>(task.store(), task.settings().host, task.sink()),
             std::make_unique<no_sharing>()};
 }
