--- a/src/acceptance.cpp
+++ b/src/acceptance.cpp
@@ -23,7 +23,7 @@
 {
     const auto &rows = section_table<tuning>::kRows;
     const auto row = std::ranges::find(rows, kLeaseKey, &key_row<tuning>::key);
-    return std::chrono::milliseconds(static_cast<std::int64_t>(row->most));
+    return std::chrono::milliseconds(static_cast<std::int64_t>(row->maximum));
 }
 
 std::set<std::string> hostsOf(const config_document &document)
