--- a/tests/test_object_store_http.cpp
+++ b/tests/test_object_store_http.cpp
@@ -41,7 +41,7 @@
     for (const auto &expected : expectations) {
         CAPTURE(expected.status);
         const auto written =
-            writeOnce(net, [&](const http_exchange_ptr &exchange) { exchange->reply(expected.status, {}); });
+            writeOnce(net, [&](const http_exchange_ptr &exchange) { exchange->respond(expected.status, {}); });
         REQUIRE(written.has_error());
         CHECK(written.error().code == expected.code);
         CHECK(written.error().field == "claims/a b/1");
@@ -58,7 +58,7 @@
         condition = exchange->header("If-None-Match");
         path = exchange->path;
         body = exchange->body;
-        exchange->reply(201, {}, {{"ETag", "\"17\""}});
+        exchange->respond(201, {}, {{"ETag", "\"17\""}});
     });
     REQUIRE(written.has_value());
     CHECK(written.value() == 17);
@@ -82,7 +82,7 @@
     const auto written = writeOnce(net, [&](const http_exchange_ptr &exchange) { openExchanges.push_back(exchange); });
     REQUIRE(written.has_error());
     CHECK(written.error().code == error_code::timed_out);
-    openExchanges.front()->reply(201, {}, {{"ETag", "\"1\""}});
+    openExchanges.front()->respond(201, {}, {{"ETag", "\"1\""}});
     net.stopSoon();
     CHECK(net.run());
 }
@@ -90,7 +90,7 @@
 TEST_CASE("a successful write without a valid version in the response is an I/O failure")
 {
     loopback net;
-    const auto written = writeOnce(net, [](const http_exchange_ptr &exchange) { exchange->reply(200, {}); });
+    const auto written = writeOnce(net, [](const http_exchange_ptr &exchange) { exchange->respond(200, {}); });
     REQUIRE(written.has_error());
     CHECK(written.error().code == error_code::io_failure);
 }
@@ -123,7 +123,7 @@
     std::map<std::string, std::string> query;
     net.serve = [&](const http_exchange_ptr &exchange) {
         query = exchange->query;
-        exchange->reply(200, bodies[served++]);
+        exchange->respond(200, bodies[served++]);
     };
     std::vector<result<std::vector<std::string>>> lists;
     store.list("a/", "a/0", 10, [&](const result<std::vector<std::string>> &list) {
