--- a/tools/control_main.cpp
+++ b/tools/control_main.cpp
@@ -1,4 +1,5 @@
-// foxtaildyke-control: administration API, publishing of configuration, roll-outs and orders to engines.
+// foxtaildyke-control: serves the administration API, publishes configuration, runs roll-outs and sends orders to
+// engines.
 #include "control_p.h"
 #include "status_client_p.h"
 
--- a/tools/control_p.h
+++ b/tools/control_p.h
@@ -1,5 +1,5 @@
-// Control process: ports of the controller to the platform, to engines and to the router of this host, and the HTTP
-// server of the administration API.
+// Control process: connects the controller to the platform, to engines and to the router of this host, and runs the
+// HTTP server of the administration API.
 #pragma once
 
 #include "admin_api_p.h"
@@ -18,10 +18,10 @@
     std::vector<operator_account> operators;
 };
 
-/// Reads and checks the file of --config.
+/// Reads and validates the settings file given with --config.
 [[nodiscard]] result<control_settings> loadControlSettings(const std::string &path);
 
-/// Sends orders to engines over HTTP: POST /orders.
+/// Sends orders to engines as HTTP requests (POST /orders).
 class http_orders : public order_port
 {
 public:
@@ -38,7 +38,7 @@
 class control_process
 {
 public:
-    /// @param router asks the router of this host.
+    /// @param router queries the status of the router of this host.
     control_process(control_settings settings, event_loop &loop, status_port &router);
 
     [[nodiscard]] result<void> start();
@@ -46,9 +46,9 @@
 private:
     void tick();
     void pollHosts();
-    void takeHosts(const host_list &list);
+    void applyHostList(const host_list &list);
     void serve(const http_exchange_ptr &exchange);
-    void note(const controller_event &event);
+    void recordEvent(const controller_event &event);
     [[nodiscard]] std::string metricsText() const;
 
     control_settings m_settings;
@@ -62,9 +62,9 @@
     controller m_controller;
     admin_api m_api;
     http_server m_server;
-    instant m_nextHosts{};
-    std::optional<std::uint64_t> m_hostListVersion; ///< of the list that the controller has
-    std::map<std::string, std::uint64_t> m_eventCounts; ///< by type, for /metrics
+    instant m_nextHostPoll{};
+    std::optional<std::uint64_t> m_hostListVersion; ///< version of the list last passed to the controller
+    std::map<std::string, std::uint64_t> m_eventCounts; ///< by event type, for /metrics
     loop_timer m_timer;
 };
 
--- a/tools/control_process.cpp
+++ b/tools/control_process.cpp
@@ -1,4 +1,4 @@
-// Control process; see control_p.h.
+// Implements the control process declared in control_p.h.
 #include "control_p.h"
 #include "log_output_p.h"
 
@@ -12,24 +12,24 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kTick{50};
-constexpr std::chrono::milliseconds kHostsPeriod{1000};
+constexpr std::chrono::milliseconds kTickPeriod{50};
+constexpr std::chrono::milliseconds kHostPollPeriod{1000};
 constexpr int kUsPerMs = 1000;
 const http_headers kJsonHeader{{"Content-Type", "application/json"}};
 
-/// Tells this process from an earlier one of the same host.
+/// @returns a random id that distinguishes this process from earlier ones on the same host.
 std::string makeIncarnation()
 {
     std::random_device device;
     return std::to_string(device()) + '-' + std::to_string(device());
 }
 
-std::string metricLine(std::string_view name, std::string_view labels, std::uint64_t value)
+std::string formatMetric(std::string_view name, std::string_view labels, std::uint64_t value)
 {
     return std::string(name).append(labels).append(" ").append(std::to_string(value)).append("\n");
 }
 
-std::string_view nameOfMethod(http_method method)
+std::string_view methodName(http_method method)
 {
     return method == http_method::post ? "POST" : method == http_method::get ? "GET" : "";
 }
@@ -65,16 +65,17 @@
     request.headers = {{"Content-Type", "application/json"}};
     request.body = body.dump();
     http_handlers handlers;
-    handlers.onDone = [done = std::move(done), name = order.target.name](const http_response &reply) {
-        if (reply.end != http_end::complete)
-            return done(error{reply.end == http_end::timed_out ? error_code::timed_out : error_code::io_failure, name});
-        if (reply.status != 200)
-            return done(error{reply.status == 409 ? error_code::conflict : error_code::unavailable, name});
-        const auto answer = nlohmann::json::parse(reply.body, nullptr, false);
-        if (!answer.is_object() || !answer.contains("versions") || !answer["versions"].is_array())
+    handlers.onDone = [done = std::move(done), name = order.target.name](const http_response &response) {
+        if (response.end != http_end::complete)
+            return done(
+                error{response.end == http_end::timed_out ? error_code::timed_out : error_code::io_failure, name});
+        if (response.status != 200)
+            return done(error{response.status == 409 ? error_code::conflict : error_code::unavailable, name});
+        const auto content = nlohmann::json::parse(response.body, nullptr, false);
+        if (!content.is_object() || !content.contains("versions") || !content["versions"].is_array())
             return done(error{error_code::protocol_violation, name});
         std::vector<std::string> versions;
-        for (const auto &version : answer["versions"])
+        for (const auto &version : content["versions"])
             versions.push_back(version.is_string() ? version.get<std::string>() : "");
         done(std::move(versions));
     };
@@ -91,8 +92,8 @@
     , m_platform(m_client, m_settings.process.platform)
     , m_orders(m_client)
     , m_controller(m_store, router, m_orders, m_settings.process.host, makeIncarnation(),
-                   [this](const controller_event &event) { note(event); })
-    , m_api(m_controller, m_settings.operators, [this](const controller_event &event) { note(event); })
+                   [this](const controller_event &event) { recordEvent(event); })
+    , m_api(m_controller, m_settings.operators, [this](const controller_event &event) { recordEvent(event); })
     , m_server(loop, [this](const http_exchange_ptr &exchange) { serve(exchange); })
     , m_timer(loop, [this] { tick(); })
 {
@@ -117,22 +118,22 @@
     m_controller.tick(now, unixMs);
     m_api.tick(now, unixMs);
     m_metrics.setGeneration(m_controller.document().generation);
-    if (m_controller.isHolder() && now >= m_nextHosts) {
-        m_nextHosts = now + kHostsPeriod;
+    if (m_controller.isHolder() && now >= m_nextHostPoll) {
+        m_nextHostPoll = now + kHostPollPeriod;
         pollHosts();
     }
-    m_timer.start(kTick);
+    m_timer.start(kTickPeriod);
 }
 
 void control_process::pollHosts()
 {
     m_platform.hosts(m_hostListVersion, [this](const result<std::optional<host_list>> &list) {
         if (list.has_value() && list.value())
-            takeHosts(*list.value());
+            applyHostList(*list.value());
     });
 }
 
-void control_process::takeHosts(const host_list &list)
+void control_process::applyHostList(const host_list &list)
 {
     m_hostListVersion = list.version;
     std::vector<listed_entry> entries;
@@ -156,18 +157,18 @@
     if (exchange->path == "/metrics")
         return exchange->respond(200, metricsText(), {{"Content-Type", "text/plain; version=0.0.4"}});
     admin_request request;
-    request.method = nameOfMethod(exchange->method);
+    request.method = methodName(exchange->method);
     request.path = exchange->path;
     request.query = exchange->query;
     request.authorization = exchange->header("Authorization");
     request.body = exchange->body;
-    m_api.handle(request, [exchange](const admin_response &reply) {
+    m_api.handle(request, [exchange](const admin_response &response) {
         if (exchange->isOpen())
-            exchange->respond(reply.status, reply.body, kJsonHeader);
+            exchange->respond(response.status, response.body, kJsonHeader);
     });
 }
 
-void control_process::note(const controller_event &event)
+void control_process::recordEvent(const controller_event &event)
 {
     ++m_eventCounts[event.type];
     record_event record;
@@ -184,16 +185,16 @@
     const auto &acceptanceState = m_controller.acceptanceState();
     auto text = m_metrics.text();
     text += "# TYPE foxtaildyke_control_holds_lease gauge\n";
-    text += metricLine("foxtaildyke_control_holds_lease", "", m_controller.isHolder() ? 1 : 0);
+    text += formatMetric("foxtaildyke_control_holds_lease", "", m_controller.isHolder() ? 1 : 0);
     text += "# TYPE foxtaildyke_control_newest_generation gauge\n";
-    text += metricLine("foxtaildyke_control_newest_generation", "", m_controller.document().generation);
+    text += formatMetric("foxtaildyke_control_newest_generation", "", m_controller.document().generation);
     text += "# TYPE foxtaildyke_control_accepted_generation gauge\n";
-    text += metricLine("foxtaildyke_control_accepted_generation", "", acceptanceState.accepted());
+    text += formatMetric("foxtaildyke_control_accepted_generation", "", acceptanceState.accepted());
     text += "# TYPE foxtaildyke_control_router_answers gauge\n";
-    text += metricLine("foxtaildyke_control_router_answers", "", m_controller.routerStatus() ? 1 : 0);
+    text += formatMetric("foxtaildyke_control_router_answers", "", m_controller.routerStatus() ? 1 : 0);
     text += "# TYPE foxtaildyke_control_events_total counter\n";
     for (const auto &[type, count] : m_eventCounts)
-        text += metricLine("foxtaildyke_control_events_total", "{type=\"" + type + "\"}", count);
+        text += formatMetric("foxtaildyke_control_events_total", "{type=\"" + type + "\"}", count);
     return text;
 }
 
--- a/tools/gateway_main.cpp
+++ b/tools/gateway_main.cpp
@@ -1,4 +1,4 @@
-// foxtaildyke-gateway: the router of a host on the users' platform.
+// foxtaildyke-gateway: request router of one host on the users' platform.
 #include "gateway_task_p.h"
 #include "store_feed.h"
 #include "wire_names.h"
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Path of the settings where the command line names none.
+/// Environment variable with the path of the settings file; used if --config is absent.
 constexpr const char *kSettingsVariable = "FOXTAILDYKE_SETTINGS";
 
 const program_spec &program()
@@ -27,7 +27,8 @@
 
 result<gateway_settings> loadSettings(const command_line &line)
 {
-    const char *fromEnvironment = std::getenv(kSettingsVariable); // NOLINT(concurrency-mt-unsafe): before any thread
+    const char *fromEnvironment =
+        std::getenv(kSettingsVariable); // NOLINT(concurrency-mt-unsafe): no other thread runs yet
     const std::string path = !line.configPath.empty() || !fromEnvironment ? line.configPath : fromEnvironment;
     if (path.empty())
         return error{error_code::missing_key, "--config"};
@@ -42,9 +43,9 @@
     event_loop loop;
     platform::store_feed feed(loop, settings.platform, {settings.configWatch, settings.replicaWatch},
                               {settings.host, settings.relays, settings.relay});
-    const auto relay = feed.listen();
-    if (relay.has_error()) {
-        printError(program(), relay.error());
+    const auto listening = feed.listen();
+    if (listening.has_error()) {
+        printError(program(), listening.error());
         return exit_code::failure;
     }
     gateway_task task(loop, settings, platform::makeHeaderNames(), platform::kReadinessPath);
--- a/tools/router_main.cpp
+++ b/tools/router_main.cpp
@@ -1,4 +1,5 @@
-// foxtaildyke-router: callers' API, upstream calls and decision core of one entry host.
+// foxtaildyke-router: request router of one entry host; serves the callers' API, calls upstreams and makes the routing
+// decisions.
 #include "relay_ledger_p.h"
 #include "relay_task_p.h"
 #include "router_task_p.h"
@@ -34,8 +35,8 @@
     return settings;
 }
 
-/// @returns a name for this run of the process; writers of ledger records are told apart by it.
-std::string runName()
+/// @returns a random id of this process, which distinguishes the writers of ledger records.
+std::string makeInstanceId()
 {
     std::random_device random;
     const auto number = (std::uint64_t{random()} << 32U) | random();
@@ -44,17 +45,19 @@
 
 router_ports makePorts(router_task &task)
 {
-    const auto note = [&task](std::string type, std::string reason, generation_number generation) {
+    const auto recordEvent = [&task](std::string type, std::string reason, generation_number generation) {
         task.log().note(std::move(type), std::move(reason), generation);
     };
     if (!task.settings().peerListen.address.empty()) {
-        const auto relay = std::make_shared<relay_task>(task.loop(), task.store(), task.settings(), task.sink(), note);
+        const auto relay =
+            std::make_shared<relay_task>(task.loop(), task.store(), task.settings(), task.sink(), recordEvent);
         return {std::make_unique<relay_config>(relay),
-                std::make_unique<relay_ledger>(task.loop(), task.store(), relay, task.settings().host, runName(),
+                std::make_unique<relay_ledger>(task.loop(), task.store(), relay, task.settings().host, makeInstanceId(),
                                                task.sink()),
                 std::make_unique<relay_sharing>(relay)};
     }
-    return {std::make_unique<store_config>(task.loop(), task.store(), task.settings().failureDomain, task.sink(), note),
+    return {std::make_unique<store_config>(task.loop(), task.store(), task.settings().failureDomain, task.sink(),
+                                           recordEvent),
             std::make_unique<store_ledger>(task.store(), task.settings().host, task.sink()),
             std::make_unique<no_sharing>()};
 }
--- a/tools/timeline_main.cpp
+++ b/tools/timeline_main.cpp
@@ -1,4 +1,4 @@
-// foxtaildyke-timeline: merges the event logs of all processes into one time line.
+// foxtaildyke-timeline: merges the event logs of all processes into one timeline.
 #include "process_settings_p.h"
 #include "timeline_p.h"
 
@@ -14,7 +14,7 @@
 
 const program_spec kProgram{
     "foxtaildyke-timeline",
-    "Merges event logs into one time line and counts refusals by reason.",
+    "Merges event logs into one timeline and counts refusals by reason.",
     "FILE...",
     {{"request", "ID", "only events of this request"},
      {"session", "ID", "only events of this session"},
@@ -22,17 +22,17 @@
      {"generation", "N", "only events of this generation"},
      {"host", "NAME", "only events of this host"},
      {"json", nullptr, "print JSON lines"}},
-    "FILE is an event log, or - for standard input. Where the clock of a host contradicts the order of cause and\n"
-    "effect, the corrected time is shown first and clock= shows the time of the log."};
+    "FILE is an event log, or - for standard input. Where the clock of a host contradicts the causal order of events,\n"
+    "the corrected time is shown first and clock= shows the time of the log."};
 
 constexpr std::string_view kVersionFilter = "--version=";
 
-int exitWith(exit_code code)
+int exitStatus(exit_code code)
 {
     return static_cast<int>(code);
 }
 
-/// All binaries print their version on --version; with a name it is a filter here.
+/// Replaces --version=NAME by --model-version=NAME: --version without a value prints the version, as in all programs.
 std::vector<std::string> renameVersionFilter(int argc, char **argv)
 {
     std::vector<std::string> arguments(argv, argv + argc);
@@ -43,7 +43,7 @@
     return arguments;
 }
 
-std::string readAll(std::istream &input)
+std::string readStream(std::istream &input)
 {
     std::ostringstream text;
     text << input.rdbuf();
@@ -55,13 +55,13 @@
     timeline_input input;
     for (const auto &path : paths) {
         if (path == "-") {
-            readLog(readAll(std::cin), input);
+            readLog(readStream(std::cin), input);
             continue;
         }
         std::ifstream file(path);
         if (!file)
             return error{error_code::not_found, path};
-        readLog(readAll(file), input);
+        readLog(readStream(file), input);
     }
     return input;
 }
@@ -91,13 +91,13 @@
     auto input = readLogs(line.arguments);
     if (input.has_error()) {
         printError(kProgram, input.error());
-        return exitWith(exit_code::failure);
+        return exitStatus(exit_code::failure);
     }
     auto events = orderEvents(std::move(input.value().events));
     std::erase_if(events, [&](const timeline_event &event) { return !matches(event, filter); });
     printEvents(events, line.has("json"));
     printSummary(events, input.value().damagedLines, line.has("json"));
-    return exitWith(exit_code::success);
+    return exitStatus(exit_code::success);
 }
 
 } // namespace
@@ -112,16 +112,16 @@
     pointers.push_back(nullptr);
     const auto parsed = parseCommandLine(kProgram, argc, pointers.data());
     if (const auto *code = std::get_if<exit_code>(&parsed))
-        return exitWith(*code);
+        return exitStatus(*code);
     const auto &line = std::get<command_line>(parsed);
     const auto generation = line.has("generation") ? line.number("generation", 1, INT64_MAX) : std::int64_t{0};
-    const bool isChecking = line.checkOnly && line.arguments.empty();
-    if (!generation || (line.arguments.empty() && !isChecking)) {
+    const bool isCheckOnly = line.checkOnly && line.arguments.empty();
+    if (!generation || (line.arguments.empty() && !isCheckOnly)) {
         std::cerr << helpText(kProgram);
-        return exitWith(exit_code::usage);
+        return exitStatus(exit_code::usage);
     }
     if (line.checkOnly)
-        return exitWith(exit_code::success);
+        return exitStatus(exit_code::success);
     return run(line,
                {.requestId = line.text("request"),
                 .sessionId = line.text("session"),
