--- a/tools/ctl_files.cpp
+++ b/tools/ctl_files.cpp
@@ -1,4 +1,4 @@
-// Settings files of foxtaildyke-ctl; see ctl_p.h.
+// Reading and validation of the settings files of foxtaildyke-ctl; see ctl_p.h.
 #include "ctl_p.h"
 
 #include <filesystem>
@@ -23,7 +23,7 @@
     return text.str();
 }
 
-std::vector<std::filesystem::path> expand(const std::vector<std::string> &paths)
+std::vector<std::filesystem::path> expandDirectories(const std::vector<std::string> &paths)
 {
     std::vector<std::filesystem::path> files;
     for (const auto &path : paths) {
@@ -40,7 +40,7 @@
     return files;
 }
 
-error inFile(const std::string &file, const error &failure)
+error withFileName(const std::string &file, const error &failure)
 {
     return {failure.code, file + ": " + failure.field};
 }
@@ -51,7 +51,7 @@
 {
     settings_files files;
     bool hasBase = false;
-    for (const auto &path : expand(paths)) {
+    for (const auto &path : expandDirectories(paths)) {
         auto text = readText(path);
         if (text.has_error())
             return text.error();
@@ -74,12 +74,12 @@
     config_layers layers;
     auto base = parseIni(files.base);
     if (base.has_error())
-        return inFile("base.ini", base.error());
+        return withFileName("base.ini", base.error());
     layers.base = std::move(base.value());
     for (const auto &[failureDomain, text] : files.overlays) {
         auto overlay = parseIni(text);
         if (overlay.has_error())
-            return inFile(failureDomain + ".ini", overlay.error());
+            return withFileName(failureDomain + ".ini", overlay.error());
         layers.overlays[failureDomain] = std::move(overlay.value());
     }
     return checkLayers(layers);
--- a/tools/ctl_main.cpp
+++ b/tools/ctl_main.cpp
@@ -1,4 +1,4 @@
-// foxtaildyke-ctl: operators' command line.
+// foxtaildyke-ctl: command line client of the administration API, for operators.
 #include "ctl_p.h"
 #include "rollout_p.h"
 
@@ -21,9 +21,9 @@
     {{"server", "IP:PORT", "administration address of a control process"},
      {"key-file", "FILE", "file that holds the operator's key"},
      {"wait", nullptr, "wait until the change is accepted everywhere"},
-     {"wait-ms", "MS", "longest wait of --wait, at most 30000", "15000"},
+     {"wait-ms", "MS", "maximum time of --wait, at most 30000", "15000"},
      {"generation", "N", "generation on which the files are based: later changes of the same keys conflict"},
-     {"change-id", "ID", "repeat the change with this id"},
+     {"change-id", "ID", "retry the change that was sent with this id"},
      {"share", "PERMILLE", "share of new sessions for rollout start and step"},
      {"hosts", nullptr, "apply the [host NAME] sections of the files as well"},
      {"json", nullptr, "print JSON"},
@@ -32,13 +32,13 @@
     "  check FILE...                           check base.ini and overlays FAILURE-DOMAIN.ini; needs no server\n"
     "  diff FILE...                            show what apply would change\n"
     "  apply FILE...                           make the configuration equal to the files\n"
-    "  withdraw VERSION                        withdraw a version for ever\n"
-    "  rollout start|step|halt|finish VERSION  move a roll-out\n"
-    "  status, pending, history                show the deployment\n"
+    "  withdraw VERSION                        withdraw a version permanently\n"
+    "  rollout start|step|halt|finish VERSION  change the state of a roll-out\n"
+    "  status, pending, history                show the state of the deployment\n"
     "  acceptance GENERATION                   show whether a generation is accepted\n"
     "FILE may be a directory: all its .ini files."};
 
-/// A command line that makes no sense.
+/// Thrown for an invalid command line.
 struct usage_error {
     std::string text;
 };
@@ -58,9 +58,9 @@
 }
 
 template <typename number>
-number numberOption(const command_line &line, const std::string &name, std::int64_t least, std::int64_t most)
+number readNumberOption(const command_line &line, const std::string &name, std::int64_t minimum, std::int64_t maximum)
 {
-    const auto value = line.number(name, least, most);
+    const auto value = line.number(name, minimum, maximum);
     if (!value)
         throw usage_error{"--" + name};
     return static_cast<number>(*value);
@@ -68,8 +68,8 @@
 
 ctl_options readOptions(const command_line &line)
 {
-    constexpr std::int64_t kMostWaitMs = 30000;
-    constexpr std::int64_t kPermille = 1000;
+    constexpr std::int64_t kMaxWaitMs = 30000;
+    constexpr std::int64_t kMaxSharePermille = 1000;
     ctl_options options;
     const auto server = parseEndpoint(line.text("server"));
     if (!server)
@@ -79,11 +79,11 @@
     if (options.key.empty())
         throw usage_error{"--key-file"};
     if (line.has("wait"))
-        options.wait = std::chrono::milliseconds(numberOption<std::int64_t>(line, "wait-ms", 1, kMostWaitMs));
+        options.wait = std::chrono::milliseconds(readNumberOption<std::int64_t>(line, "wait-ms", 1, kMaxWaitMs));
     if (line.has("generation"))
-        options.generation = numberOption<generation_number>(line, "generation", 0, INT64_MAX);
+        options.generation = readNumberOption<generation_number>(line, "generation", 0, INT64_MAX);
     if (line.has("share"))
-        options.sharePermille = numberOption<std::uint32_t>(line, "share", 1, kPermille);
+        options.sharePermille = readNumberOption<std::uint32_t>(line, "share", 1, kMaxSharePermille);
     options.changeId = line.has("change-id") ? line.text("change-id") : makeChangeId();
     options.withHosts = line.has("hosts");
     options.asJson = line.has("json");
@@ -96,30 +96,30 @@
     body["wait_ms"] = options.wait.count();
     if (options.generation)
         body["generation"] = *options.generation;
-    return showReply(options, callServer(options, http_method::post, path, body.dump()));
+    return printResponse(options, callServer(options, http_method::post, path, body.dump()));
 }
 
-exit_code getPage(const ctl_options &options, const std::string &path)
+exit_code getResource(const ctl_options &options, const std::string &path)
 {
-    return showReply(options, callServer(options, http_method::get, path, {}));
+    return printResponse(options, callServer(options, http_method::get, path, {}));
 }
 
-exit_code failWith(const error &failure)
+exit_code reportError(const error &failure)
 {
     printError(kProgram, failure);
     return failure.code == error_code::not_found ? exit_code::failure : exit_code::invalid_settings;
 }
 
-std::vector<std::string> argumentsAfter(const command_line &line, std::size_t count, std::size_t least)
+std::vector<std::string> argumentsFrom(const command_line &line, std::size_t firstIndex, std::size_t minimum)
 {
-    if (line.arguments.size() < count + least)
+    if (line.arguments.size() < firstIndex + minimum)
         throw usage_error{"missing argument"};
-    return {line.arguments.begin() + static_cast<std::ptrdiff_t>(count), line.arguments.end()};
+    return {line.arguments.begin() + static_cast<std::ptrdiff_t>(firstIndex), line.arguments.end()};
 }
 
-std::string onlyArgument(const command_line &line, std::size_t count)
+std::string singleArgument(const command_line &line, std::size_t firstIndex)
 {
-    const auto rest = argumentsAfter(line, count, 1);
+    const auto rest = argumentsFrom(line, firstIndex, 1);
     if (rest.size() > 1)
         throw usage_error{"unexpected argument '" + rest[1] + "'"};
     return rest.front();
@@ -127,32 +127,33 @@
 
 exit_code runCheck(const command_line &line)
 {
-    const auto files = readSettingsFiles(argumentsAfter(line, 1, 1));
+    const auto files = readSettingsFiles(argumentsFrom(line, 1, 1));
     const auto checked = files.has_value() ? checkSettingsFiles(files.value()) : result<void>(files.error());
     if (checked.has_error())
-        return failWith(checked.error());
+        return reportError(checked.error());
     std::cout << (line.has("json") ? "{\"valid\":true}\n" : "valid\n");
     return exit_code::success;
 }
 
-exit_code runFiles(const command_line &line, const std::string &path)
+exit_code postFiles(const command_line &line, const std::string &path)
 {
     const auto options = readOptions(line);
-    const auto files = readSettingsFiles(argumentsAfter(line, 1, 1));
+    const auto files = readSettingsFiles(argumentsFrom(line, 1, 1));
     const auto checked = files.has_value() ? checkSettingsFiles(files.value()) : result<void>(files.error());
     if (checked.has_error())
-        return failWith(checked.error());
-    const auto &sent = files.value();
-    return postChange(options, path, {{"base", sent.base}, {"overlays", sent.overlays}, {"hosts", options.withHosts}});
+        return reportError(checked.error());
+    const auto &checkedFiles = files.value();
+    return postChange(options, path,
+                      {{"base", checkedFiles.base}, {"overlays", checkedFiles.overlays}, {"hosts", options.withHosts}});
 }
 
 exit_code runRollout(const command_line &line)
 {
-    const auto action = argumentsAfter(line, 1, 1).front();
+    const auto action = argumentsFrom(line, 1, 1).front();
     if (!valueOf<rollout_action>(action))
         throw usage_error{"unknown action '" + action + "'"};
     const auto options = readOptions(line);
-    json body{{"action", action}, {"version", onlyArgument(line, 2)}};
+    json body{{"action", action}, {"version", singleArgument(line, 2)}};
     if (options.sharePermille > 0)
         body["share_permille"] = options.sharePermille;
     return postChange(options, "/v1/rollout", std::move(body));
@@ -161,9 +162,9 @@
 exit_code runAcceptance(const command_line &line)
 {
     const auto options = readOptions(line);
-    return getPage(options,
-                   "/v1/acceptance?generation=" + onlyArgument(line, 1)
-                       + "&wait_ms=" + std::to_string(options.wait.count()));
+    return getResource(options,
+                       "/v1/acceptance?generation=" + singleArgument(line, 1)
+                           + "&wait_ms=" + std::to_string(options.wait.count()));
 }
 
 struct command {
@@ -175,28 +176,28 @@
     command{"check", runCheck},
     command{"diff",
             [](const command_line &line) {
-                return runFiles(line, "/v1/diff");
+                return postFiles(line, "/v1/diff");
             }},
     command{"apply",
             [](const command_line &line) {
-                return runFiles(line, "/v1/apply");
+                return postFiles(line, "/v1/apply");
             }},
     command{"withdraw",
             [](const command_line &line) {
-                return postChange(readOptions(line), "/v1/withdraw", {{"version", onlyArgument(line, 1)}});
+                return postChange(readOptions(line), "/v1/withdraw", {{"version", singleArgument(line, 1)}});
             }},
     command{"rollout", runRollout},
     command{"status",
             [](const command_line &line) {
-                return getPage(readOptions(line), "/v1/status");
+                return getResource(readOptions(line), "/v1/status");
             }},
     command{"pending",
             [](const command_line &line) {
-                return getPage(readOptions(line), "/v1/pending");
+                return getResource(readOptions(line), "/v1/pending");
             }},
     command{"history",
             [](const command_line &line) {
-                return getPage(readOptions(line), "/v1/history");
+                return getResource(readOptions(line), "/v1/history");
             }},
     command{"acceptance", runAcceptance},
 };
@@ -227,9 +228,9 @@
     if (const auto *code = std::get_if<exit_code>(&parsed))
         return static_cast<int>(*code);
     auto &line = std::get<command_line>(parsed);
-    const auto read = addOptionsFromFile(kProgram, line);
-    if (read.has_error()) {
-        printError(kProgram, read.error());
+    const auto fileOptions = addOptionsFromFile(kProgram, line);
+    if (fileOptions.has_error()) {
+        printError(kProgram, fileOptions.error());
         return static_cast<int>(exit_code::invalid_settings);
     }
     return static_cast<int>(runCommand(line));
--- a/tools/ctl_p.h
+++ b/tools/ctl_p.h
@@ -1,4 +1,4 @@
-// Operators' command line: commands, calls to the administration API and output.
+// foxtaildyke-ctl: options, settings files, calls to the administration API and output.
 #pragma once
 
 #include "process_settings_p.h"
@@ -11,38 +11,38 @@
 
 struct ctl_options {
     http_endpoint server;
-    std::string key; ///< operator's bearer key
-    std::chrono::milliseconds wait{0}; ///< for acceptance; 0 doesn't wait
-    std::optional<generation_number> generation; ///< on which the files are based
+    std::string key; ///< bearer key of the operator
+    std::chrono::milliseconds wait{0}; ///< time to wait for acceptance of the change; 0: no wait
+    std::optional<generation_number> generation; ///< generation on which the files are based
     std::string changeId;
     std::uint32_t sharePermille = 0;
     bool withHosts = false;
     bool asJson = false;
 };
 
-/// Answer of the administration API.
-struct ctl_reply {
-    int status = 0; ///< 0: no answer
+/// Response of the administration API.
+struct ctl_response {
+    int status = 0; ///< HTTP status; 0: no response
     nlohmann::json body;
 };
 
-/// Settings files: the first without a failure domain, the others named FAILURE-DOMAIN.ini.
+/// Contents of base.ini and of the overlays, by failure domain (the stem of FAILURE-DOMAIN.ini).
 struct settings_files {
     std::string base;
     std::map<std::string, std::string> overlays;
 };
 
-/// Reads base.ini and overlays; a directory stands for all its .ini files.
+/// Reads base.ini and the overlays. A directory is replaced by the .ini files in it.
 [[nodiscard]] result<settings_files> readSettingsFiles(const std::vector<std::string> &paths);
 
 [[nodiscard]] result<void> checkSettingsFiles(const settings_files &files);
 
-/// Calls the administration API and waits for the answer. A call without an answer is repeated, which is safe: changes
-/// carry their change id.
-[[nodiscard]] ctl_reply callServer(const ctl_options &options, http_method method, const std::string &path,
-                                   const std::string &body);
+/// Calls the administration API and waits for the response. A call without a response is retried; this is safe because
+/// each change carries an id by which the server recognizes a retry.
+[[nodiscard]] ctl_response callServer(const ctl_options &options, http_method method, const std::string &path,
+                                      const std::string &body);
 
-/// Prints an answer. @returns the exit status it stands for.
-[[nodiscard]] exit_code showReply(const ctl_options &options, const ctl_reply &reply);
+/// Prints a response. @returns the exit status for it.
+[[nodiscard]] exit_code printResponse(const ctl_options &options, const ctl_response &response);
 
 } // namespace foxtaildyke
