--- a/tools/standin_platform_main.cpp
+++ b/tools/standin_platform_main.cpp
@@ -1,4 +1,4 @@
-// foxtaildyke-standin-platform: stand-in for the platform in tests and demos.
+// foxtaildyke-standin-platform: emulates the platform in tests and demos.
 #include "process_settings_p.h"
 #include "settings_p.h"
 #include "standin_platform_p.h"
@@ -25,7 +25,7 @@
     "POST /faults takes a JSON object with any of outage, slow_ms, lose_answers, host_list_lag_ms, host_list_down and\n"
     "rating_down. GET /counts gives the calls by type. The settings file has a section [options] with these options."};
 
-int exitWith(exit_code code)
+int exitStatus(exit_code code)
 {
     return static_cast<int>(code);
 }
@@ -70,9 +70,9 @@
 
 result<platform_options> readOptions(const command_line &line)
 {
-    constexpr std::int64_t kMost = 1'000'000;
-    const auto rate = line.number("weights-per-second", 0, kMost);
-    const auto burst = line.number("weights-burst", 1, kMost);
+    constexpr std::int64_t kMaxWeightRate = 1'000'000;
+    const auto rate = line.number("weights-per-second", 0, kMaxWeightRate);
+    const auto burst = line.number("weights-burst", 1, kMaxWeightRate);
     if (!rate || !burst)
         return error{error_code::value_out_of_range, rate ? "weights-burst" : "weights-per-second"};
     return platform_options{*rate, *burst};
@@ -92,9 +92,9 @@
 
 result<exit_code> run(command_line &line)
 {
-    auto filled = addOptionsFromFile(kProgram, line);
-    if (filled.has_error())
-        return filled.error();
+    auto fileOptions = addOptionsFromFile(kProgram, line);
+    if (fileOptions.has_error())
+        return fileOptions.error();
     auto options = readOptions(line);
     if (options.has_error())
         return options.error();
@@ -128,11 +128,11 @@
     std::signal(SIGPIPE, SIG_IGN);
     auto parsed = parseCommandLine(kProgram, argc, argv);
     if (const auto *code = std::get_if<exit_code>(&parsed))
-        return exitWith(*code);
+        return exitStatus(*code);
     auto &line = std::get<command_line>(parsed);
     const auto status = run(line);
     if (status.has_value())
-        return exitWith(status.value());
+        return exitStatus(status.value());
     printError(kProgram, status.error());
-    return exitWith(line.configPath.empty() ? exit_code::usage : exit_code::invalid_settings);
+    return exitStatus(line.configPath.empty() ? exit_code::usage : exit_code::invalid_settings);
 }
--- a/tools/standin_platform_p.h
+++ b/tools/standin_platform_p.h
@@ -1,5 +1,5 @@
-// Stand-in for the platform: object API, host list, rating service and weight store in one process, with faults that
-// can be switched at run time and counts of all calls. See section 7 of docs/design.md for the protocol.
+// Platform emulator: object API, host list, rating service and weight store in one process. Faults can be injected at
+// run time, and calls are counted by type. See section 7 of docs/design.md for the protocol.
 #pragma once
 
 #include "http_server_p.h"
@@ -11,17 +11,17 @@
 namespace foxtaildyke
 {
 
-/// Objects with versions, in memory.
+/// In-memory store of versioned objects.
 class object_table
 {
 public:
     [[nodiscard]] std::optional<stored_object> read(const std::string &key) const;
 
-    /// Writes an object where its version is `expected` (0: where it does not exist).
-    /// @returns the new version, or nothing on conflict.
+    /// Writes an object if its current version is `expected` (0: if it does not exist).
+    /// @returns the new version, or std::nullopt on a conflict.
     std::optional<object_version> write(const std::string &key, std::string body, object_version expected);
 
-    /// @returns whether the object existed with this version.
+    /// Removes an object if its current version is `expected`. @returns whether it was removed.
     bool remove(const std::string &key, object_version expected);
 
     [[nodiscard]] std::vector<std::pair<std::string, object_version>>
@@ -29,18 +29,19 @@
 
 private:
     std::map<std::string, stored_object> m_objects;
-    object_version m_next = 1; ///< never reused, so that a deleted and recreated object has another version
+    object_version m_nextVersion = 1; ///< versions are never reused, so a deleted and recreated object gets a new one
 };
 
-/// Host list with the lag of its publication.
+/// Host list with its past versions, which emulate a delayed publication.
 class host_table
 {
 public:
-    /// Adds or changes a host: fields that `change` lacks stay. {"name": N, "removed": true} takes it off the list.
-    /// @returns whether the change names a host.
+    /// Adds or updates a host; fields that are missing in `change` keep their values. {"name": N, "removed": true}
+    /// removes it.
+    /// @returns false if `change` has no host name.
     bool apply(const nlohmann::json &change, instant now);
 
-    /// @returns the list as it was `lag` ago.
+    /// @returns the list that was current at `time`.
     [[nodiscard]] nlohmann::json listAt(instant time) const;
 
 private:
@@ -50,14 +51,15 @@
     };
     std::map<std::string, nlohmann::json> m_hosts;
     std::uint64_t m_version = 0;
-    std::deque<snapshot> m_history; ///< oldest first, at most kHistory
-    static constexpr std::size_t kHistory = 256;
+    std::deque<snapshot> m_history; ///< oldest first, at most kMaxHistory
+    static constexpr std::size_t kMaxHistory = 256;
 };
 
 struct platform_faults {
-    bool outage = false; ///< the object API answers 503
-    std::int64_t slowMs = 0; ///< answers of the object API are delayed; the call itself takes effect at once
-    std::int64_t loseAnswers = 0; ///< so many writes take effect and close the connection without an answer
+    bool outage = false; ///< the object API responds with 503
+    std::int64_t responseDelayMs = 0; ///< delay of object API responses; the call itself takes effect immediately
+    std::int64_t responsesToLose =
+        0; ///< number of next writes that take effect but close the connection without a response
     std::int64_t hostListLagMs = 0;
     bool hostListDown = false;
     bool ratingDown = false;
@@ -77,13 +79,13 @@
 
     [[nodiscard]] object_table &objects() { return m_objects; }
 
-    /// @returns whether the text was a JSON list of hosts.
+    /// @param json list of hosts. @returns whether the text was valid.
     bool addHosts(const std::string &json);
 
 private:
     struct watcher {
         std::string key;
-        object_version seen = 0;
+        object_version knownVersion = 0;
         http_exchange_ptr exchange;
     };
     struct route;
@@ -100,10 +102,10 @@
     void serveWeights(const http_exchange_ptr &exchange);
     void serveFaults(const http_exchange_ptr &exchange);
     void serveCounts(const http_exchange_ptr &exchange);
-    void answer(const http_exchange_ptr &exchange, int status, std::string body, http_headers headers = {});
-    void answerWrite(const http_exchange_ptr &exchange, int status, http_headers headers);
-    void wakeWatchers(const std::string &key);
-    [[nodiscard]] bool takeWeight();
+    void sendResponse(const http_exchange_ptr &exchange, int status, std::string body, http_headers headers = {});
+    void sendWriteResponse(const http_exchange_ptr &exchange, int status, http_headers headers);
+    void notifyWatchers(const std::string &key);
+    [[nodiscard]] bool tryConsumeWeightToken();
 
     event_loop &m_loop;
     platform_options m_options;
--- a/tools/standin_platform_service.cpp
+++ b/tools/standin_platform_service.cpp
@@ -1,4 +1,4 @@
-// HTTP protocol of the platform stand-in; see standin_platform_p.h.
+// HTTP interface of the platform emulator; see standin_platform_p.h.
 #include "standin_platform_p.h"
 
 #include <charconv>
@@ -12,11 +12,11 @@
 using nlohmann::json;
 
 constexpr std::string_view kObjectPrefix = "/objects/";
-constexpr std::size_t kObjectLimitBytes = 1'000'000;
-constexpr std::int64_t kWatchLimitMs = 60'000;
-constexpr std::int64_t kListLimit = 1000;
+constexpr std::size_t kMaxObjectBytes = 1'000'000;
+constexpr std::int64_t kMaxWatchMs = 60'000;
+constexpr std::int64_t kMaxListItems = 1000;
 
-std::int64_t numberIn(const http_exchange &exchange, const std::string &name, std::int64_t fallback)
+std::int64_t queryNumber(const http_exchange &exchange, const std::string &name, std::int64_t fallback)
 {
     const auto found = exchange.query.find(name);
     if (found == exchange.query.end())
@@ -26,12 +26,13 @@
     return value;
 }
 
-std::string etagOf(object_version version)
+std::string makeEtag(object_version version)
 {
     return '"' + std::to_string(version) + '"';
 }
 
-/// @returns the version that a conditional call expects (0: none exists), or nothing where it has no valid condition.
+/// @returns the version that If-Match or If-None-Match expects (0: the object must not exist), or std::nullopt if the
+/// request has no valid condition.
 std::optional<object_version> expectedVersion(const http_exchange &exchange)
 {
     if (exchange.header("If-None-Match") == "*")
@@ -45,24 +46,25 @@
     return isValid ? std::optional(version) : std::nullopt;
 }
 
-/// Sets a member from a field of the same type; a field that is missing keeps it.
+/// Assigns a JSON field to a variable of the same type; a missing field leaves the variable unchanged.
 template <typename value_type>
-void take(const json &body, const char *field, value_type &target)
+void assignField(const json &body, const char *field, value_type &target)
 {
     target = body.value(field, target);
 }
 
-/// @returns the score that an answer's text carries as "[score=873]", from 0 to 1; 0.5 where it carries none.
-double scoreIn(const std::string &text)
+/// @returns the score (0 to 1) that the text of a response contains as a per mille value in the form "[score=873]"; 0.5
+/// if it has none.
+double parseScore(const std::string &text)
 {
-    constexpr std::string_view kMark = "[score=";
+    constexpr std::string_view kScorePrefix = "[score=";
     constexpr double kPermille = 1000;
-    constexpr double kUnknown = 0.5;
-    const auto found = text.find(kMark);
+    constexpr double kDefaultScore = 0.5;
+    const auto found = text.find(kScorePrefix);
     int score = 0;
     if (found == std::string::npos)
-        return kUnknown;
-    std::from_chars(text.data() + found + kMark.size(), text.data() + text.size(), score);
+        return kDefaultScore;
+    std::from_chars(text.data() + found + kScorePrefix.size(), text.data() + text.size(), score);
     return std::clamp(score / kPermille, 0.0, 1.0);
 }
 
@@ -110,31 +112,32 @@
     (this->*found->serve)(exchange);
 }
 
-void standin_platform::answer(const http_exchange_ptr &exchange, int status, std::string body, http_headers headers)
+void standin_platform::sendResponse(const http_exchange_ptr &exchange, int status, std::string body,
+                                    http_headers headers)
 {
-    if (m_faults.slowMs <= 0)
+    if (m_faults.responseDelayMs <= 0)
         return exchange->respond(status, body, headers);
-    m_loop.after(std::chrono::milliseconds(m_faults.slowMs),
+    m_loop.after(std::chrono::milliseconds(m_faults.responseDelayMs),
                  [exchange, status, body = std::move(body), headers = std::move(headers)] {
                      exchange->respond(status, body, headers);
                  });
 }
 
-void standin_platform::answerWrite(const http_exchange_ptr &exchange, int status, http_headers headers)
+void standin_platform::sendWriteResponse(const http_exchange_ptr &exchange, int status, http_headers headers)
 {
-    if (m_faults.loseAnswers > 0) {
-        --m_faults.loseAnswers;
+    if (m_faults.responsesToLose > 0) {
+        --m_faults.responsesToLose;
         ++m_counts["lost_answers"];
         return exchange->drop();
     }
-    answer(exchange, status, {}, std::move(headers));
+    sendResponse(exchange, status, {}, std::move(headers));
 }
 
 void standin_platform::serveObject(const http_exchange_ptr &exchange)
 {
     if (m_faults.outage) {
         ++m_counts["refused"];
-        return answer(exchange, 503, {});
+        return sendResponse(exchange, 503, {});
     }
     const auto key = exchange->path.substr(kObjectPrefix.size());
     switch (exchange->method) {
@@ -154,32 +157,32 @@
     ++m_counts["reads"];
     const auto object = m_objects.read(key);
     if (!object)
-        return answer(exchange, 404, {});
-    answer(exchange, 200, object->body, {{"ETag", etagOf(object->version)}});
+        return sendResponse(exchange, 404, {});
+    sendResponse(exchange, 200, object->body, {{"ETag", makeEtag(object->version)}});
 }
 
 void standin_platform::serveWatch(const http_exchange_ptr &exchange, const std::string &key)
 {
     ++m_counts["watches"];
-    const auto seen = static_cast<object_version>(numberIn(*exchange, "watch", 0));
+    const auto knownVersion = static_cast<object_version>(queryNumber(*exchange, "watch", 0));
     const auto object = m_objects.read(key);
-    if ((object ? object->version : 0) != seen)
+    if ((object ? object->version : 0) != knownVersion)
         return serveRead(exchange, key);
-    const auto timeout = std::clamp<std::int64_t>(numberIn(*exchange, "timeout_ms", 0), 0, kWatchLimitMs);
+    const auto timeout = std::clamp<std::int64_t>(queryNumber(*exchange, "timeout_ms", 0), 0, kMaxWatchMs);
     exchange->watchClose();
-    m_watchers.push_back({key, seen, exchange});
+    m_watchers.push_back({key, knownVersion, exchange});
     m_loop.after(std::chrono::milliseconds(timeout), [this, exchange] {
         if (std::erase_if(m_watchers, [&](const watcher &entry) { return entry.exchange == exchange; }) > 0)
             exchange->respond(304, {});
     });
 }
 
-void standin_platform::wakeWatchers(const std::string &key)
+void standin_platform::notifyWatchers(const std::string &key)
 {
-    const auto woken = std::stable_partition(m_watchers.begin(), m_watchers.end(),
-                                             [&](const watcher &entry) { return entry.key != key; });
-    const std::vector<watcher> ready(woken, m_watchers.end());
-    m_watchers.erase(woken, m_watchers.end());
+    const auto notified = std::stable_partition(m_watchers.begin(), m_watchers.end(),
+                                                [&](const watcher &entry) { return entry.key != key; });
+    const std::vector<watcher> ready(notified, m_watchers.end());
+    m_watchers.erase(notified, m_watchers.end());
     for (const auto &entry : ready)
         serveRead(entry.exchange, key);
 }
@@ -189,16 +192,16 @@
     const auto expected = expectedVersion(*exchange);
     if (!expected)
         return exchange->respond(428, {});
-    if (exchange->body.size() > kObjectLimitBytes)
+    if (exchange->body.size() > kMaxObjectBytes)
         return exchange->respond(413, {});
     ++m_counts["writes"];
     const auto version = m_objects.write(key, exchange->body, *expected);
     if (!version) {
         ++m_counts["conflicts"];
-        return answer(exchange, 412, {});
+        return sendResponse(exchange, 412, {});
     }
-    answerWrite(exchange, *expected == 0 ? 201 : 200, {{"ETag", etagOf(*version)}});
-    wakeWatchers(key);
+    sendWriteResponse(exchange, *expected == 0 ? 201 : 200, {{"ETag", makeEtag(*version)}});
+    notifyWatchers(key);
 }
 
 void standin_platform::serveRemove(const http_exchange_ptr &exchange, const std::string &key)
@@ -208,28 +211,28 @@
         return exchange->respond(428, {});
     ++m_counts["deletes"];
     if (!m_objects.read(key))
-        return answer(exchange, 404, {});
+        return sendResponse(exchange, 404, {});
     if (!m_objects.remove(key, *expected)) {
         ++m_counts["conflicts"];
-        return answer(exchange, 412, {});
+        return sendResponse(exchange, 412, {});
     }
-    answerWrite(exchange, 200, {});
-    wakeWatchers(key);
+    sendWriteResponse(exchange, 200, {});
+    notifyWatchers(key);
 }
 
 void standin_platform::serveList(const http_exchange_ptr &exchange)
 {
     if (m_faults.outage) {
         ++m_counts["refused"];
-        return answer(exchange, 503, {});
+        return sendResponse(exchange, 503, {});
     }
     ++m_counts["lists"];
-    const auto limit = std::clamp<std::int64_t>(numberIn(*exchange, "limit", kListLimit), 0, kListLimit);
+    const auto limit = std::clamp<std::int64_t>(queryNumber(*exchange, "limit", kMaxListItems), 0, kMaxListItems);
     json items = json::array();
     for (const auto &[key, version] :
          m_objects.list(exchange->query["prefix"], exchange->query["after"], static_cast<std::size_t>(limit)))
         items.push_back({{"key", key}, {"version", version}});
-    answer(exchange, 200, json{{"items", std::move(items)}}.dump());
+    sendResponse(exchange, 200, json{{"items", std::move(items)}}.dump());
 }
 
 void standin_platform::serveHosts(const http_exchange_ptr &exchange)
@@ -259,16 +262,16 @@
     const auto body = json::parse(exchange->body, nullptr, false);
     if (!body.is_object() || !body.contains("text") || !body["text"].is_string())
         return exchange->respond(400, {});
-    exchange->respond(200, json{{"score", scoreIn(body["text"].get<std::string>())}}.dump());
+    exchange->respond(200, json{{"score", parseScore(body["text"].get<std::string>())}}.dump());
 }
 
-bool standin_platform::takeWeight()
+bool standin_platform::tryConsumeWeightToken()
 {
     const auto now = event_loop::now();
-    const auto passed = std::chrono::duration<double>(now - m_weightsRefilledAt).count();
+    const auto elapsed = std::chrono::duration<double>(now - m_weightsRefilledAt).count();
     m_weightsRefilledAt = now;
     m_weightTokens = std::min(static_cast<double>(m_options.weightsBurst),
-                              m_weightTokens + passed * static_cast<double>(m_options.weightsPerSecond));
+                              m_weightTokens + elapsed * static_cast<double>(m_options.weightsPerSecond));
     if (m_weightTokens < 1)
         return false;
     m_weightTokens -= 1;
@@ -278,7 +281,7 @@
 void standin_platform::serveWeights(const http_exchange_ptr &exchange)
 {
     ++m_counts["weights"];
-    if (takeWeight())
+    if (tryConsumeWeightToken())
         return exchange->respond(200, {});
     ++m_counts["weights_refused"];
     exchange->respond(429, {}, {{"Retry-After", "1"}});
@@ -287,12 +290,12 @@
 void standin_platform::serveFaults(const http_exchange_ptr &exchange)
 try {
     const auto body = json::parse(exchange->body);
-    take(body, "outage", m_faults.outage);
-    take(body, "slow_ms", m_faults.slowMs);
-    take(body, "lose_answers", m_faults.loseAnswers);
-    take(body, "host_list_lag_ms", m_faults.hostListLagMs);
-    take(body, "host_list_down", m_faults.hostListDown);
-    take(body, "rating_down", m_faults.ratingDown);
+    assignField(body, "outage", m_faults.outage);
+    assignField(body, "slow_ms", m_faults.responseDelayMs);
+    assignField(body, "lose_answers", m_faults.responsesToLose);
+    assignField(body, "host_list_lag_ms", m_faults.hostListLagMs);
+    assignField(body, "host_list_down", m_faults.hostListDown);
+    assignField(body, "rating_down", m_faults.ratingDown);
     exchange->respond(200, {});
 } catch (const json::exception &failure) {
     exchange->respond(400, failure.what());
--- a/tools/standin_platform_tables.cpp
+++ b/tools/standin_platform_tables.cpp
@@ -1,4 +1,4 @@
-// Objects and hosts of the platform stand-in; see standin_platform_p.h.
+// Object store and host list of the platform emulator; see standin_platform_p.h.
 #include "standin_platform_p.h"
 
 namespace foxtaildyke
@@ -16,7 +16,7 @@
     const auto current = found == m_objects.end() ? 0 : found->second.version;
     if (current != expected)
         return std::nullopt;
-    const auto version = m_next++;
+    const auto version = m_nextVersion++;
     m_objects[key] = {std::move(body), version};
     return version;
 }
@@ -59,7 +59,7 @@
     for (const auto &[key, host] : m_hosts)
         list["hosts"].push_back(host);
     m_history.push_back({now, std::move(list)});
-    if (m_history.size() > kHistory)
+    if (m_history.size() > kMaxHistory)
         m_history.pop_front();
     return true;
 }
--- a/tools/standin_upstream_control.cpp
+++ b/tools/standin_upstream_control.cpp
@@ -1,4 +1,4 @@
-// Load reports, orders, faults and registration of the upstream stand-in; see standin_upstream_p.h.
+// Load reports, orders, faults and registration of the upstream emulator; see standin_upstream_p.h.
 #include "standin_upstream_p.h"
 
 #include <numeric>
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-constexpr std::chrono::milliseconds kRegisterPeriod{500};
+constexpr std::chrono::milliseconds kRegistrationRetryDelay{500};
 const http_headers kJsonHeader{{"Content-Type", "application/json"}};
 
 std::int64_t unixMs()
@@ -21,9 +21,9 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
 }
 
-/// Sets a member from a field of the same type; a field that is missing keeps it.
+/// Assigns a JSON field to a variable of the same type; a missing field leaves the variable unchanged.
 template <typename value_type>
-void take(const json &body, const char *field, value_type &target)
+void assignField(const json &body, const char *field, value_type &target)
 {
     target = body.value(field, target);
 }
@@ -35,13 +35,13 @@
     const auto queued = std::accumulate(m_queue.begin(), m_queue.end(), std::size_t{0},
                                         [](std::size_t sum, const auto &item) { return sum + item.second.size(); });
     m_load = {{"running", m_running}, {"queued", queued}, {"slots", m_options.slots}, {"measured_at_ms", unixMs()}};
-    if (m_options.loadLag.count() > 0)
-        m_loop.after(m_options.loadLag, [this] { measureLoad(); });
+    if (m_options.maxLoadAge.count() > 0)
+        m_loop.after(m_options.maxLoadAge, [this] { measureLoad(); });
 }
 
 void standin_upstream::serveLoad(const http_exchange_ptr &exchange)
 {
-    if (m_options.loadLag.count() == 0)
+    if (m_options.maxLoadAge.count() == 0)
         measureLoad();
     auto report = m_load;
     report["now_ms"] = unixMs();
@@ -81,12 +81,12 @@
 void standin_upstream::serveFaults(const http_exchange_ptr &exchange)
 try {
     const auto body = json::parse(exchange->body);
-    take(body, "late_ms", m_faults.lateMs);
-    take(body, "crossed", m_faults.crossed);
-    take(body, "truncated", m_faults.truncated);
-    take(body, "drop_runs", m_faults.dropRuns);
-    take(body, "bad_versions", m_faults.badVersions);
-    take(body, "overload", m_faults.overload);
+    assignField(body, "late_ms", m_faults.lateMs);
+    assignField(body, "crossed", m_faults.crossed);
+    assignField(body, "truncated", m_faults.truncated);
+    assignField(body, "drop_runs", m_faults.dropRuns);
+    assignField(body, "bad_versions", m_faults.badVersions);
+    assignField(body, "overload", m_faults.overload);
     if (body.contains("leave")) {
         m_state = body["leave"].get<bool>() ? "leaving" : "live";
         registerAt(m_port);
@@ -133,21 +133,21 @@
     m_port = port;
     if (!m_options.platform)
         return;
-    // A later registration replaces one that is still being repeated.
-    if (m_isRegistered)
-        *m_isRegistered = true;
-    m_isRegistered = std::make_shared<bool>(false);
+    // Stops the retries of an earlier registration, which this one replaces.
+    if (m_isRegistrationSuperseded)
+        *m_isRegistrationSuperseded = true;
+    m_isRegistrationSuperseded = std::make_shared<bool>(false);
     http_request request;
     request.endpoint = *m_options.platform;
     request.method = http_method::post;
     request.path = "/hosts";
     request.body = hostEntry().dump();
     http_handlers handlers;
-    handlers.onDone = [this, isDone = m_isRegistered](const http_response &reply) {
-        if (*isDone || (reply.end == http_end::complete && reply.status == 200))
+    handlers.onDone = [this, isSuperseded = m_isRegistrationSuperseded](const http_response &response) {
+        if (*isSuperseded || (response.end == http_end::complete && response.status == 200))
             return;
-        m_loop.after(kRegisterPeriod, [this, isDone] {
-            if (!*isDone)
+        m_loop.after(kRegistrationRetryDelay, [this, isSuperseded] {
+            if (!*isSuperseded)
                 registerAt(m_port);
         });
     };
--- a/tools/standin_upstream_main.cpp
+++ b/tools/standin_upstream_main.cpp
@@ -1,4 +1,4 @@
-// foxtaildyke-standin-upstream: stand-in for a model engine or a plain service in tests and demos.
+// foxtaildyke-standin-upstream: emulates a model engine or a plain service in tests and demos.
 #include "process_settings_p.h"
 #include "standin_upstream_p.h"
 
@@ -36,12 +36,12 @@
     "GET /counts gives the runs by request id and by version. The settings file has a section [options] with these\n"
     "options."};
 
-int exitWith(exit_code code)
+int exitStatus(exit_code code)
 {
     return static_cast<int>(code);
 }
 
-std::vector<std::string> split(const std::string &list)
+std::vector<std::string> splitList(const std::string &list)
 {
     std::vector<std::string> parts;
     std::istringstream stream(list);
@@ -54,7 +54,7 @@
 result<std::map<std::string, double>> readQuality(const std::string &list)
 {
     std::map<std::string, double> quality;
-    for (const auto &pair : split(list)) {
+    for (const auto &pair : splitList(list)) {
         const auto equals = pair.find('=');
         if (equals == std::string::npos)
             return error{error_code::invalid_syntax, "quality"};
@@ -67,14 +67,14 @@
     return quality;
 }
 
-/// Numeric options and their targets.
+/// Numeric command line option with its lower limit and setter.
 struct number_option {
     const char *name;
-    std::int64_t least;
+    std::int64_t minimum;
     void (*set)(upstream_options &, std::int64_t);
 };
 
-constexpr std::array kNumbers{
+constexpr std::array kNumberOptions{
     number_option{"slots", 1,
                   [](upstream_options &o, std::int64_t v) {
                       o.slots = static_cast<std::size_t>(v);
@@ -85,11 +85,11 @@
                   }},
     number_option{"first-token-ms", 0,
                   [](upstream_options &o, std::int64_t v) {
-                      o.firstToken = std::chrono::milliseconds(v);
+                      o.firstTokenDelay = std::chrono::milliseconds(v);
                   }},
     number_option{"token-ms", 0,
                   [](upstream_options &o, std::int64_t v) {
-                      o.betweenTokens = std::chrono::milliseconds(v);
+                      o.tokenInterval = std::chrono::milliseconds(v);
                   }},
     number_option{"tokens", 1,
                   [](upstream_options &o, std::int64_t v) {
@@ -101,15 +101,15 @@
                   }},
     number_option{"load-lag-ms", 0,
                   [](upstream_options &o, std::int64_t v) {
-                      o.loadLag = std::chrono::milliseconds(v);
+                      o.maxLoadAge = std::chrono::milliseconds(v);
                   }},
 };
 
 result<void> readNumbers(const command_line &line, upstream_options &options)
 {
-    constexpr std::int64_t kMost = 1'000'000'000;
-    for (const auto &number : kNumbers) {
-        const auto value = line.number(number.name, number.least, kMost);
+    constexpr std::int64_t kMaxNumber = 1'000'000'000;
+    for (const auto &number : kNumberOptions) {
+        const auto value = line.number(number.name, number.minimum, kMaxNumber);
         if (!value)
             return error{error_code::value_out_of_range, number.name};
         number.set(options, *value);
@@ -138,7 +138,7 @@
     options.failureDomain = line.text("failure-domain");
     options.service = line.text("service");
     options.model = line.text("model");
-    for (const auto &version : split(line.text("versions")))
+    for (const auto &version : splitList(line.text("versions")))
         options.versions.insert(version);
     const auto fencing = line.text("fencing");
     if (fencing != "check" && fencing != "ignore")
@@ -164,14 +164,14 @@
     const auto port = server.listen(options.listen);
     if (port.has_error()) {
         printError(kProgram, port.error());
-        return exitWith(exit_code::failure);
+        return exitStatus(exit_code::failure);
     }
     std::cout << "listening on " << options.listen.address << ':' << port.value() << std::endl;
     upstream.registerAt(port.value());
     loop.onSignal(SIGTERM, [&] { loop.stop(); });
     loop.onSignal(SIGINT, [&] { loop.stop(); });
     loop.run();
-    return exitWith(exit_code::success);
+    return exitStatus(exit_code::success);
 }
 
 } // namespace
@@ -181,13 +181,13 @@
     std::signal(SIGPIPE, SIG_IGN);
     auto parsed = parseCommandLine(kProgram, argc, argv);
     if (const auto *code = std::get_if<exit_code>(&parsed))
-        return exitWith(*code);
+        return exitStatus(*code);
     auto &line = std::get<command_line>(parsed);
-    const auto filled = addOptionsFromFile(kProgram, line);
-    const auto options = filled.has_error() ? result<upstream_options>(filled.error()) : readOptions(line);
+    const auto fileOptions = addOptionsFromFile(kProgram, line);
+    const auto options = fileOptions.has_error() ? result<upstream_options>(fileOptions.error()) : readOptions(line);
     if (options.has_error()) {
         printError(kProgram, options.error());
-        return exitWith(line.configPath.empty() ? exit_code::usage : exit_code::invalid_settings);
+        return exitStatus(line.configPath.empty() ? exit_code::usage : exit_code::invalid_settings);
     }
-    return line.checkOnly ? exitWith(exit_code::success) : runUpstream(options.value());
+    return line.checkOnly ? exitStatus(exit_code::success) : runUpstream(options.value());
 }
--- a/tools/standin_upstream_service.cpp
+++ b/tools/standin_upstream_service.cpp
@@ -1,4 +1,4 @@
-// Completions of the upstream stand-in; see standin_upstream_p.h.
+// Completion requests of the upstream emulator; see standin_upstream_p.h.
 #include "standin_upstream_p.h"
 
 #include <numeric>
@@ -12,11 +12,11 @@
 
 using nlohmann::json;
 
-constexpr std::string_view kPoison = "poison";
-constexpr std::size_t kBytesPerToken = 4; ///< rough size of a prompt token
+constexpr std::string_view kCrashMarker = "poison";
+constexpr std::size_t kBytesPerToken = 4; ///< approximate size of a prompt token
 const std::map<std::string, int> kPriorities{{"interactive", 0}, {"standard", 1}, {"batch", 2}};
 
-std::string eventOf(const json &body)
+std::string formatSseEvent(const json &body)
 {
     return "data: " + body.dump(-1, ' ', false, json::error_handler_t::replace) + "\n\n";
 }
@@ -29,11 +29,11 @@
     std::string request;
     std::string version;
     std::size_t promptTokens = 0;
-    std::uint32_t tokens = 0; ///< to generate
+    std::uint32_t tokens = 0; ///< number of tokens to generate
     std::uint32_t emitted = 0;
     int priority = 1;
     std::uint32_t score = 0;
-    bool isRunning = false; ///< holds a slot
+    bool isRunning = false; ///< occupies a slot
 };
 
 standin_upstream::standin_upstream(event_loop &loop, upstream_options options)
@@ -67,12 +67,12 @@
     (this->*found->serve)(exchange);
 }
 
-standin_upstream::run_ptr standin_upstream::readRun(const http_exchange_ptr &exchange) const
+standin_upstream::run_ptr standin_upstream::parseRun(const http_exchange_ptr &exchange) const
 try {
     const auto body = json::parse(exchange->body);
     const auto &prompt = body.at("prompt").get_ref<const std::string &>();
-    if (prompt.find(kPoison) != std::string::npos)
-        _exit(1); // the crash that a poisonous request causes: no answer, no cleanup
+    if (prompt.find(kCrashMarker) != std::string::npos)
+        _exit(1); // emulates a request that crashes the engine: no response and no cleanup
     auto next = std::make_shared<run>();
     next->exchange = exchange;
     next->attempt = exchange->header("X-Attempt-Id");
@@ -93,12 +93,12 @@
         ++m_counts["overloaded"];
         return exchange->respond(429, {}, {{"Retry-After", "1"}});
     }
-    const auto next = readRun(exchange);
+    const auto next = parseRun(exchange);
     if (!next)
         return exchange->respond(400, {});
     if (!m_options.versions.contains(next->version))
         return exchange->respond(404, {});
-    // The pointer is weak because the run owns the exchange.
+    // A weak pointer avoids a reference cycle: the run owns the exchange.
     exchange->onClosed = [this, weak = std::weak_ptr(next)] {
         if (const auto closed = weak.lock())
             onCancelled(closed);
@@ -122,7 +122,7 @@
     ++m_runsByRequest[next->request];
     ++m_runsByVersion[next->version];
     next->score = drawScore(next->version);
-    const auto delay = m_options.firstToken + std::chrono::milliseconds(m_faults.lateMs);
+    const auto delay = m_options.firstTokenDelay + std::chrono::milliseconds(m_faults.lateMs);
     m_loop.after(delay, [this, next] {
         next->exchange->startChunks(200, {{"Content-Type", "text/event-stream"}});
         emitToken(next);
@@ -141,60 +141,60 @@
 
 std::uint32_t standin_upstream::drawScore(const std::string &version)
 {
-    constexpr std::uint32_t kGood = 960; // good scores are 960 to 999, others 200 to 599
-    constexpr std::uint32_t kGoodWidth = 40;
-    constexpr std::uint32_t kBad = 200;
-    constexpr std::uint32_t kBadWidth = 400;
-    const auto bad = m_faults.badVersions.find(version);
-    const auto set = m_options.quality.find(version);
-    const double usual = set == m_options.quality.end() ? 1 : set->second;
-    const double chance = bad == m_faults.badVersions.end() ? usual : 1 - bad->second;
+    constexpr std::uint32_t kMinGoodScore = 960; // good scores range from 960 to 999, bad ones from 200 to 599
+    constexpr std::uint32_t kGoodScoreRange = 40;
+    constexpr std::uint32_t kMinBadScore = 200;
+    constexpr std::uint32_t kBadScoreRange = 400;
+    const auto fault = m_faults.badVersions.find(version);
+    const auto configured = m_options.quality.find(version);
+    const double configuredChance = configured == m_options.quality.end() ? 1 : configured->second;
+    const double chance = fault == m_faults.badVersions.end() ? configuredChance : 1 - fault->second;
     const bool isGood = std::uniform_real_distribution<>(0, 1)(m_random) < chance;
     const auto draw = static_cast<std::uint32_t>(m_random());
-    return isGood ? kGood + draw % kGoodWidth : kBad + draw % kBadWidth;
+    return isGood ? kMinGoodScore + draw % kGoodScoreRange : kMinBadScore + draw % kBadScoreRange;
 }
 
-void standin_upstream::emitForeign(const run_ptr &current)
+void standin_upstream::emitOtherAttempt(const run_ptr &current)
 {
     const auto other = current->attempt + "-other";
-    current->exchange->chunk(eventOf({{"attempt", other}, {"text", "crossed "}}));
+    current->exchange->chunk(formatSseEvent({{"attempt", other}, {"text", "crossed "}}));
     if (current->emitted + 1 < current->tokens)
         return;
     current->exchange->chunk(
-        eventOf({{"attempt", other}, {"finish", "stop"}, {"prompt_tokens", 1}, {"completion_tokens", 1}}));
+        formatSseEvent({{"attempt", other}, {"finish", "stop"}, {"prompt_tokens", 1}, {"completion_tokens", 1}}));
 }
 
 void standin_upstream::emitToken(const run_ptr &current)
 {
-    // A run stays in its timer after its connection was closed, until here.
+    // The connection may have been closed while the timer was running, which keeps the run alive until here.
     if (!current->exchange->isOpen())
         return;
     if (m_faults.crossed)
-        emitForeign(current);
-    const bool isHalf = current->emitted >= current->tokens / 2;
-    if (isHalf && m_faults.dropRuns > 0) {
+        emitOtherAttempt(current);
+    const bool isPastHalf = current->emitted >= current->tokens / 2;
+    if (isPastHalf && m_faults.dropRuns > 0) {
         --m_faults.dropRuns;
         current->exchange->drop();
         return end(current);
     }
-    if (isHalf && m_faults.truncated) {
+    if (isPastHalf && m_faults.truncated) {
         current->exchange->endChunks();
         return end(current);
     }
     const bool isLast = ++current->emitted >= current->tokens;
     const auto text = isLast ? "[score=" + std::to_string(current->score) + ']' : std::string("word ");
-    current->exchange->chunk(eventOf({{"attempt", current->attempt}, {"text", text}}));
+    current->exchange->chunk(formatSseEvent({{"attempt", current->attempt}, {"text", text}}));
     if (isLast)
         return emitFinish(current);
-    m_loop.after(m_options.betweenTokens, [this, current] { emitToken(current); });
+    m_loop.after(m_options.tokenInterval, [this, current] { emitToken(current); });
 }
 
 void standin_upstream::emitFinish(const run_ptr &current)
 {
-    current->exchange->chunk(eventOf({{"attempt", current->attempt},
-                                      {"finish", "stop"},
-                                      {"prompt_tokens", current->promptTokens},
-                                      {"completion_tokens", current->tokens}}));
+    current->exchange->chunk(formatSseEvent({{"attempt", current->attempt},
+                                             {"finish", "stop"},
+                                             {"prompt_tokens", current->promptTokens},
+                                             {"completion_tokens", current->tokens}}));
     current->exchange->chunk("data: [DONE]\n\n");
     current->exchange->endChunks();
     ++m_completedByVersion[current->version];
