--- a/tools/router_main.cpp
+++ b/tools/router_main.cpp
@@ -46,7 +46,7 @@
 router_ports makePorts(router_task &task)
 {
     const auto recordEvent = [&task](std::string type, std::string reason, generation_number generation) {
-        task.log().note(std::move(type), std::move(reason), generation);
+        task.log().recordEvent(std::move(type), std::move(reason), generation);
     };
     if (!task.settings().peerListen.address.empty()) {
         const auto relay =
