--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -10,7 +10,8 @@
 {
 
 constexpr int kBacklog = 1024;
-/// A body above the limit is read to its end and answered with 413; above this size the connection is closed instead.
+/// A body above kCallerBodyLimitBytes is read to its end and rejected with 413; above this size the connection is
+/// closed instead.
 constexpr std::uint64_t kHardBodyLimitBytes = 16UL << 20U;
 
 std::string headerOf(evhtp_request_t *request, const char *name)
@@ -24,7 +25,8 @@
     evhtp_headers_add_header(request->headers_out, evhtp_header_new(name, value.c_str(), 1, 1));
 }
 
-/// evhtp takes hooks of every type through one function type; the cast over void () tells the compiler it is meant.
+/// evhtp accepts hooks of every type through one function type; the intermediate cast to void (*)() avoids the
+/// compiler's warning about incompatible function types.
 template <typename hook_type>
 evhtp_hook asHook(hook_type hook)
 {
@@ -36,7 +38,7 @@
     sockaddr_in6 ipv6{};
     sockaddr_in ipv4;
 
-    /// @returns the size of the address, or 0 where the text is no IP address. Unlike evutil_parse_sockaddr_port() it
+    /// @returns the size of the address, or 0 if the text is not an IP address. Unlike evutil_parse_sockaddr_port() it
     /// accepts port 0.
     std::size_t set(const http_endpoint &endpoint)
     {
@@ -52,11 +54,11 @@
 
     sockaddr *generic() { return reinterpret_cast<sockaddr *>(this); }
 
-    /// The port stands at the same place in both forms.
+    /// The port has the same offset in both address types.
     [[nodiscard]] std::uint16_t port() const { return ntohs(ipv4.sin_port); }
 };
 
-std::string takeBody(evhtp_request_t *request)
+std::string consumeBody(evhtp_request_t *request)
 {
     std::string body(evbuffer_get_length(request->buffer_in), '\0');
     evbuffer_remove(request->buffer_in, body.data(), body.size());
@@ -70,12 +72,12 @@
     evhtp_request_t *request = nullptr;
     request_token token{};
     instant arrivedAt{};
-    std::string requestId; ///< as the caller gave it
+    std::string requestId; ///< as sent by the caller
     bool stream = false;
-    bool isStarted = false; ///< the status line of a stream is sent
-    bool isFinished = false; ///< the final answer is handed to evhtp
-    bool isGone = false; ///< the caller closed the connection
-    std::string text; ///< parts of an answer that is not streamed
+    bool isStarted = false; ///< the status line of a stream has been sent
+    bool isFinished = false; ///< the final response has been passed to evhtp
+    bool isDisconnected = false; ///< the caller closed the connection
+    std::string text; ///< accumulated parts of a response that is not streamed
 };
 
 /// Callbacks of evhtp.
@@ -84,7 +86,7 @@
 
     static void health(evhtp_request_t *request, void *self) { static_cast<caller_api *>(self)->onHealth(request); }
 
-    /// Keeps at most the limit and one read of a body in memory.
+    /// Limits the buffered part of a body to kCallerBodyLimitBytes and one read.
     static evhtp_res bodyPart(evhtp_request_t *request, evbuffer *part, void *)
     {
         if (evbuffer_get_length(request->buffer_in) > kCallerBodyLimitBytes)
@@ -95,7 +97,7 @@
     static void connectionError(evhtp_request_t *, evhtp_error_flags, void *open)
     {
         auto &exchange = *static_cast<caller_api::exchange *>(open);
-        exchange.owner.onGone(exchange);
+        exchange.owner.onDisconnect(exchange);
     }
 
     static evhtp_res requestEnd(evhtp_request_t *, void *open)
@@ -103,7 +105,7 @@
         auto &exchange = *static_cast<caller_api::exchange *>(open);
         auto &owner = exchange.owner;
         const auto token = exchange.token;
-        const bool wasOpen = !exchange.isFinished && !exchange.isGone;
+        const bool wasOpen = !exchange.isFinished && !exchange.isDisconnected;
         owner.m_open.erase(static_cast<std::uint64_t>(token));
         if (wasOpen)
             owner.m_deliver(caller_gone{token});
@@ -179,7 +181,7 @@
     evhtp_request_set_hook(request, evhtp_hook_on_error, asHook(caller_api_hooks::connectionError), &open);
     evhtp_request_set_hook(request, evhtp_hook_on_request_fini, asHook(caller_api_hooks::requestEnd), &open);
     evhtp_request_pause(request);
-    // evhtp 1.2.18 closes the connection where a chunked answer is begun inside its request callback.
+    // evhtp 1.2.18 closes the connection if a chunked response is started inside its request callback.
     m_loop.post([this, token = open.token, alive = m_alive] {
         auto *ready = *alive ? find(token) : nullptr;
         if (ready)
@@ -190,13 +192,13 @@
 void caller_api::decode(exchange &open)
 {
     auto *request = open.request;
-    // A paused connection is not read, which would hide that the caller closed it.
+    // evhtp stops reading a paused connection; without reads it would not be noticed that the caller closed it.
     bufferevent_enable(evhtp_request_get_bev(request), EV_READ);
     const caller_headers headers{headerOf(request, "Authorization"), headerOf(request, "Foxtaildyke-Request-Id"),
                                  headerOf(request, "Foxtaildyke-Session"),
                                  headerOf(request, "Foxtaildyke-Session-Token"),
                                  headerOf(request, "Foxtaildyke-Deadline-Ms")};
-    auto decoded = decodeCallerRequest(headers, takeBody(request));
+    auto decoded = decodeCallerRequest(headers, consumeBody(request));
     if (const auto *refusal = std::get_if<caller_refusal>(&decoded)) {
         refuse(open, *refusal);
         return;
@@ -211,20 +213,20 @@
 
 void caller_api::refuse(exchange &open, const caller_refusal &refusal)
 {
-    finish_request answer;
-    answer.request = open.token;
-    answer.outcome = outcome_kind::invalid;
-    answer.reason = refusal.reason;
-    answer.field = refusal.field;
-    finish(answer);
+    finish_request response;
+    response.request = open.token;
+    response.outcome = outcome_kind::invalid;
+    response.reason = refusal.reason;
+    response.field = refusal.field;
+    finish(response);
 }
 
-void caller_api::onGone(exchange &open)
+void caller_api::onDisconnect(exchange &open)
 {
-    if (open.isGone || open.isFinished)
+    if (open.isDisconnected || open.isFinished)
         return;
-    open.isGone = true;
-    // evhtp keeps a paused request after an error and frees it when it is resumed.
+    open.isDisconnected = true;
+    // After an error evhtp keeps a paused request until it is resumed, and frees it then.
     m_loop.post([this, token = open.token, alive = m_alive] {
         if (!*alive)
             return;
@@ -234,29 +236,29 @@
     });
 }
 
-void caller_api::addCommonHeaders(evhtp_request *request, const finish_request *answer) const
+void caller_api::addCommonHeaders(evhtp_request *request, const finish_request *response) const
 {
     if (m_isDraining) {
         addHeader(request, "Connection", "close");
         evhtp_request_set_keepalive(request, 0);
     }
-    if (!answer)
+    if (!response)
         return;
-    if (!answer->requestId.empty())
-        addHeader(request, "Foxtaildyke-Request-Id", answer->requestId);
-    if (!answer->sessionToken.empty())
-        addHeader(request, "Foxtaildyke-Session-Token", answer->sessionToken);
-    if (const auto seconds = retryAfterOf(*answer); !seconds.empty())
+    if (!response->requestId.empty())
+        addHeader(request, "Foxtaildyke-Request-Id", response->requestId);
+    if (!response->sessionToken.empty())
+        addHeader(request, "Foxtaildyke-Session-Token", response->sessionToken);
+    if (const auto seconds = retryAfterOf(*response); !seconds.empty())
         addHeader(request, "Retry-After", seconds);
 }
 
-void caller_api::startStream(exchange &open, const finish_request *answer)
+void caller_api::startStream(exchange &open, const finish_request *response)
 {
     open.isStarted = true;
     addHeader(open.request, "Content-Type", "text/event-stream");
     addHeader(open.request, "Cache-Control", "no-store");
-    addCommonHeaders(open.request, answer);
-    if (!answer && !open.requestId.empty())
+    addCommonHeaders(open.request, response);
+    if (!response && !open.requestId.empty())
         addHeader(open.request, "Foxtaildyke-Request-Id", open.requestId);
     evhtp_send_reply_chunk_start(open.request, EVHTP_RES_OK);
 }
@@ -272,7 +274,7 @@
 bool caller_api::chunk(const send_chunk &part)
 {
     auto *open = find(part.request);
-    if (!open || open->isGone || open->isFinished)
+    if (!open || open->isDisconnected || open->isFinished)
         return false;
     if (!open->stream) {
         open->text += part.text;
@@ -285,31 +287,31 @@
     return isFirst;
 }
 
-void caller_api::sendWhole(exchange &open, const finish_request &answer)
+void caller_api::sendComplete(exchange &open, const finish_request &response)
 {
-    const auto body = encodeResponse(answer, open.text + answer.text, true);
+    const auto body = encodeAnswer(response, open.text + response.text, true);
     addHeader(open.request, "Content-Type", "application/json");
-    addCommonHeaders(open.request, &answer);
+    addCommonHeaders(open.request, &response);
     evbuffer_add(open.request->buffer_out, body.data(), body.size());
-    evhtp_send_reply(open.request, static_cast<evhtp_res>(httpStatusOf(answer.outcome, answer.reason)));
+    evhtp_send_reply(open.request, static_cast<evhtp_res>(httpStatusOf(response.outcome, response.reason)));
 }
 
-void caller_api::finish(const finish_request &answer)
+void caller_api::finish(const finish_request &response)
 {
-    auto *open = find(answer.request);
-    if (!open || open->isGone || open->isFinished)
+    auto *open = find(response.request);
+    if (!open || open->isDisconnected || open->isFinished)
         return;
     open->isFinished = true;
-    // A stream that has not started yet can still carry a refusal in its status.
-    const bool isStream = open->stream && (open->isStarted || answer.outcome == outcome_kind::complete);
+    // A stream that has not started yet can still report a rejection in its HTTP status.
+    const bool isStream = open->stream && (open->isStarted || response.outcome == outcome_kind::complete);
     if (!isStream) {
-        sendWhole(*open, answer);
+        sendComplete(*open, response);
     } else {
         if (!open->isStarted)
-            startStream(*open, &answer);
-        if (!answer.text.empty())
-            sendPart(*open, encodeTextEvent(answer.text));
-        sendPart(*open, encodeOutcomeEvent(answer));
+            startStream(*open, &response);
+        if (!response.text.empty())
+            sendPart(*open, encodeTextEvent(response.text));
+        sendPart(*open, encodeOutcomeEvent(response));
         evhtp_send_reply_chunk_end(open->request);
     }
     evhtp_request_resume(open->request);
--- a/src/caller_api_p.h
+++ b/src/caller_api_p.h
@@ -11,7 +11,7 @@
 namespace foxtaildyke
 {
 
-/// Owns the callers' sockets. Delivers caller_request and caller_gone to the sink, and takes the core's answers.
+/// Owns the callers' sockets. Delivers caller_request and caller_gone to the sink, and sends the core's responses.
 class caller_api
 {
 public:
@@ -20,21 +20,22 @@
     caller_api(const caller_api &) = delete;
     caller_api &operator=(const caller_api &) = delete;
 
-    /// Starts listening; port 0 takes a free one.
+    /// Starts listening; port 0 selects a free port.
     /// @returns the port.
     [[nodiscard]] result<std::uint16_t> listen(const http_endpoint &endpoint);
 
-    /// @returns whether this is the first part that goes to the caller's socket.
+    /// Sends a part of a streamed response, or appends it to a response that is not streamed.
+    /// @returns whether this is the first part written to the caller's socket.
     bool chunk(const send_chunk &part);
-    void finish(const finish_request &answer);
+    void finish(const finish_request &response);
 
-    /// From now on /healthz answers 503 and connections are closed after their answer.
+    /// From now on /healthz returns 503 and connections are closed after their response.
     void drain();
 
-    /// @returns whether all answers have been written to their sockets.
+    /// @returns whether all responses have been written to their sockets.
     [[nodiscard]] bool isIdle() const { return m_open.empty(); }
 
-    /// @returns arrival of a request that is not finished, or nothing.
+    /// @returns the arrival time of an unfinished request, or nothing.
     [[nodiscard]] std::optional<instant> arrivalOf(request_token request) const;
 
 private:
@@ -44,12 +45,12 @@
     void onAnswers(evhtp_request *request);
     void decode(exchange &open);
     void onHealth(evhtp_request *request);
-    void onGone(exchange &open);
+    void onDisconnect(exchange &open);
     void refuse(exchange &open, const caller_refusal &refusal);
-    void startStream(exchange &open, const finish_request *answer);
+    void startStream(exchange &open, const finish_request *response);
     void sendPart(exchange &open, std::string_view text);
-    void sendWhole(exchange &open, const finish_request &answer);
-    void addCommonHeaders(evhtp_request *request, const finish_request *answer) const;
+    void sendComplete(exchange &open, const finish_request &response);
+    void addCommonHeaders(evhtp_request *request, const finish_request *response) const;
     [[nodiscard]] exchange *find(request_token request) const;
 
     event_loop &m_loop;
@@ -58,7 +59,8 @@
     bool m_isDraining = false;
     std::uint64_t m_nextToken = 1;
     std::map<std::uint64_t, std::unique_ptr<exchange>> m_open; ///< by request token, until evhtp frees the request
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< for posted messages that outlive this object
+    std::shared_ptr<bool> m_alive =
+        std::make_shared<bool>(true); ///< checked by posted messages, which may outlive this object
 };
 
 } // namespace foxtaildyke
--- a/src/caller_connection.cpp
+++ b/src/caller_connection.cpp
@@ -32,7 +32,7 @@
     status_text{504, "Gateway Timeout"},
 };
 
-std::string chunk(std::string_view bytes)
+std::string encodeChunk(std::string_view bytes)
 {
     std::array<char, 16> digits{};
     auto *end = std::to_chars(digits.begin(), digits.end(), bytes.size(), 16).ptr;
@@ -82,12 +82,12 @@
 void caller_connection::onReadable()
 {
     if (m_phase == phase::reading)
-        readOn();
+        readRequests();
     else if (m_phase == phase::closing)
         m_socket->consume(m_socket->received().size());
 }
 
-void caller_connection::readOn()
+void caller_connection::readRequests()
 {
     const auto onBody = [this](std::string_view bytes) {
         m_body.append(bytes);
@@ -117,7 +117,7 @@
     }
 }
 
-/// Rejects what can be told from the head, and lets a caller go on that waits for leave to send its body.
+/// Rejects a request whose head announces too large a body, and sends 100 Continue to a caller that waits for it.
 bool caller_connection::checkHead()
 {
     const auto &head = m_parser.head();
@@ -171,7 +171,7 @@
     writeHead(status, headers, "Content-Length: " + std::to_string(body.size()) + "\r\n");
     if (!m_isHeadRequest)
         m_socket->write(body);
-    finishAnswer();
+    finishResponse();
 }
 
 void caller_connection::startStream(int status, const http_headers &headers)
@@ -183,7 +183,7 @@
 void caller_connection::streamBytes(std::string_view bytes)
 {
     if (m_phase == phase::serving && !bytes.empty())
-        m_socket->write(chunk(bytes));
+        m_socket->write(encodeChunk(bytes));
 }
 
 void caller_connection::endStream()
@@ -191,7 +191,7 @@
     if (m_phase != phase::serving)
         return;
     m_socket->write("0\r\n\r\n");
-    finishAnswer();
+    finishResponse();
 }
 
 void caller_connection::abort()
@@ -205,16 +205,17 @@
     return m_socket->pendingBytes();
 }
 
-void caller_connection::finishAnswer()
+void caller_connection::finishResponse()
 {
     m_finishedWork = std::move(m_work);
-    // The head of a stream may have gone out before the stop began, without "Connection: close".
+    // The head of a stream may have been sent before draining began, without "Connection: close".
     if (!m_keepAlive || m_owner.isDraining())
         return beginClose();
     m_phase = phase::reading;
     m_idleSince = suspendAwareNow();
     restartTimer();
-    // The next request may have arrived already; it is read on the next turn, when this answer's work has returned.
+    // The next request may have arrived already; it is read in the next loop iteration, after the call from the
+    // finished work has returned.
     m_loop.after(std::chrono::microseconds{0}, [this, alive = std::weak_ptr<bool>(m_alive)] {
         if (alive.expired())
             return;
@@ -226,14 +227,14 @@
 void caller_connection::beginClose()
 {
     m_phase = phase::closing;
-    m_timer.start(kLingerLimit);
+    m_timer.start(kLingerTimeout);
     if (m_socket->pendingBytes() == 0)
         m_socket->shutdownWrite();
 }
 
 void caller_connection::onDrained()
 {
-    // The call may be from before the last write.
+    // The callback may have been queued before the last write.
     if (m_phase == phase::closing && m_socket->pendingBytes() == 0)
         m_socket->shutdownWrite();
     else if (m_work)
@@ -247,7 +248,7 @@
     end();
 }
 
-/// Runs while reading: at the limit for a head, or for an idle connection, whichever applies.
+/// While reading, expires at the head timeout or the idle timeout, whichever applies; while closing, at kLingerTimeout.
 void caller_connection::onTimer()
 {
     if (m_phase == phase::closing)
@@ -255,7 +256,7 @@
     if (m_phase != phase::reading)
         return;
     if (suspendAwareNow() - m_idleSince < readLimit())
-        return restartTimer(); // a newer configuration allows more
+        return restartTimer(); // a newer configuration has raised the limit
     if (m_parser.hasBegun() && m_parser.state() == parse_state::head)
         return reject(http_status::kRequestTimeout, "head_timeout");
     if (m_parser.hasBegun())
@@ -263,7 +264,7 @@
     end();
 }
 
-/// @returns how long the connection may stay in its present state of reading.
+/// @returns the timeout of the present reading state.
 std::chrono::milliseconds caller_connection::readLimit() const
 {
     const bool isInHead = m_parser.hasBegun() && m_parser.state() == parse_state::head;
--- a/src/caller_connection_p.h
+++ b/src/caller_connection_p.h
@@ -1,5 +1,5 @@
-// One caller's connection: reads requests one after the other, hands each to a handler, and writes its answer whole, as
-// a stream, or visibly broken.
+// A caller's connection: reads requests sequentially, passes each to its owner, and writes the response complete, as a
+// stream, or aborted in a way that the caller can detect.
 #pragma once
 
 #include "gateway_clock_p.h"
@@ -14,27 +14,27 @@
 struct caller_request {
     message_head head;
     std::string body;
-    instant readAt{}; ///< when its head was complete
+    instant readAt{}; ///< when the request had been read completely
 };
 
-/// Where the answer to a request goes. Exactly one of sendResponse(), or startStream() and endStream() or abort(), or
-/// abort() alone.
-class caller_response
+/// Writer of the response to a request. Either replyWhole() is called once, or startStream() followed by endStream() or
+/// abort(), or abort() alone.
+class caller_reply
 {
 public:
     virtual ~caller_response() = default;
 
-    /// Sends a complete answer.
-    virtual void sendResponse(int status, const http_headers &headers, std::string_view body) = 0;
+    /// Sends a complete response.
+    virtual void replyWhole(int status, const http_headers &headers, std::string_view body) = 0;
 
     virtual void startStream(int status, const http_headers &headers) = 0;
     virtual void streamBytes(std::string_view bytes) = 0;
     virtual void endStream() = 0;
 
-    /// Closes the connection, so that an answer begun is visibly incomplete.
+    /// Closes the connection, so that the caller detects a response already started as incomplete.
     virtual void abort() = 0;
 
-    /// @returns bytes that the caller has not taken yet.
+    /// @returns the number of bytes not yet handed to the kernel.
     [[nodiscard]] virtual std::size_t pendingBytes() const = 0;
 };
 
@@ -44,7 +44,7 @@
 public:
     virtual ~request_work() = default;
 
-    /// All bytes written so far have left.
+    /// All bytes written so far have been handed to the kernel.
     virtual void onCallerDrained() = 0;
 
     /// The caller closed its connection; the work is destroyed next.
@@ -53,7 +53,7 @@
 
 class caller_connection;
 
-/// Owner of connections: gives limits and takes requests.
+/// Owner of connections: supplies their limits and serves their requests.
 class connection_owner
 {
 public:
@@ -61,11 +61,11 @@
     [[nodiscard]] virtual const caller_limits &limits() const = 0;
     [[nodiscard]] virtual bool isDraining() const = 0;
 
-    /// Starts work on a request. The reply may be used until the work is destroyed, also before this returns.
-    [[nodiscard]] virtual std::unique_ptr<request_work> serve(caller_request request, caller_response &reply) = 0;
+    /// Starts work on a request. `response` may be used until the work is destroyed, and already before this returns.
+    [[nodiscard]] virtual std::unique_ptr<request_work> serve(caller_request request, caller_reply &response) = 0;
 
-    /// Counts a request that was rejected for its form.
-    virtual void recordRejected(int status, std::string_view reason) = 0;
+    /// Counts a request that was rejected while it was being read.
+    virtual void noteRejected(int status, std::string_view reason) = 0;
 
     /// The connection has ended and is to be destroyed, outside of this call.
     virtual void onConnectionEnd(caller_connection &connection) = 0;
@@ -77,10 +77,10 @@
     caller_connection(event_loop &loop, int socket, connection_owner &owner);
     ~caller_connection() override;
 
-    /// @returns whether no request is being read or answered.
+    /// @returns whether no request is being read or served.
     [[nodiscard]] bool isIdle() const;
 
-    /// Closes the connection where it is idle.
+    /// Closes the connection if it is idle.
     void closeIfIdle();
 
 private:
@@ -98,11 +98,11 @@
     void onSocketEnd();
     void onTimer();
     bool checkHead();
-    void readOn();
+    void readRequests();
     void serve();
     void reject(int status, std::string_view reason);
     void writeHead(int status, const http_headers &headers, std::string_view framing);
-    void finishAnswer();
+    void finishResponse();
     [[nodiscard]] std::chrono::milliseconds readLimit() const;
     void restartTimer();
     void beginClose();
@@ -114,16 +114,16 @@
     http_parser m_parser{message_type::request};
     std::string m_body;
     phase m_phase = phase::reading;
-    bool m_keepAlive = true; ///< of the request being answered
+    bool m_keepAlive = true; ///< of the request being served
     bool m_isHeadRequest = false;
     instant m_idleSince{};
     std::unique_ptr<request_work> m_work;
-    std::unique_ptr<request_work> m_finishedWork; ///< kept until its own call has returned
+    std::unique_ptr<request_work> m_finishedWork; ///< kept until the call that it made has returned
     loop_timer m_timer;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< for calls that outlive this object
+    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< checked by callbacks that may outlive this object
 
-    /// Time for a caller to take the rest of an answer and close, once no more requests are read.
-    static constexpr std::chrono::milliseconds kLingerLimit{1000};
+    /// Time for a caller to receive the rest of a response and close the connection, once no more requests are read.
+    static constexpr std::chrono::milliseconds kLingerTimeout{1000};
 };
 
 /// @returns the standard reason phrase of a status.
--- a/src/caller_protocol.cpp
+++ b/src/caller_protocol.cpp
@@ -21,7 +21,7 @@
     int status;
 };
 
-/// Reasons with a status of their own; the others have that of their outcome.
+/// Reasons with a status of their own; all others map to the status of their outcome.
 constexpr std::array kReasonStatuses{
     status_entry{reason_code::unknown_account, 401},
     status_entry{reason_code::body_too_large, 413},
@@ -75,7 +75,7 @@
     return true;
 }
 
-/// @returns the field that is missing or malformed, or null.
+/// @returns the name of the missing or malformed field, or null.
 const char *readBody(const json &body, caller_request &request)
 {
     if (!body.is_object())
@@ -103,26 +103,26 @@
     return true;
 }
 
-ordered_json answerObject(const finish_request &answer)
+ordered_json responseObject(const finish_request &response)
 {
-    ordered_json body{{"outcome", nameOf(answer.outcome)}};
-    if (answer.reason != reason_code::none)
-        body["reason"] = nameOf(answer.reason);
-    if (!answer.field.empty())
-        body["field"] = answer.field;
-    if (!answer.requestId.empty())
-        body["request_id"] = answer.requestId;
-    if (answer.retryAfter.count() > 0)
-        body["retry_after_ms"] = answer.retryAfter.count();
-    if (answer.outcome != outcome_kind::complete)
+    ordered_json body{{"outcome", nameOf(response.outcome)}};
+    if (response.reason != reason_code::none)
+        body["reason"] = nameOf(response.reason);
+    if (!response.field.empty())
+        body["field"] = response.field;
+    if (!response.requestId.empty())
+        body["request_id"] = response.requestId;
+    if (response.retryAfter.count() > 0)
+        body["retry_after_ms"] = response.retryAfter.count();
+    if (response.outcome != outcome_kind::complete)
         return body;
-    body["model"] = answer.model;
-    body["version"] = answer.version;
-    body["prompt_tokens"] = answer.promptTokens;
-    body["completion_tokens"] = answer.completionTokens;
-    body["cost_micro_units"] = answer.costMicroUnits;
-    if (!answer.sessionToken.empty())
-        body["session_token"] = answer.sessionToken;
+    body["model"] = response.model;
+    body["version"] = response.version;
+    body["prompt_tokens"] = response.promptTokens;
+    body["completion_tokens"] = response.completionTokens;
+    body["cost_micro_units"] = response.costMicroUnits;
+    if (!response.sessionToken.empty())
+        body["session_token"] = response.sessionToken;
     return body;
 }
 
@@ -154,13 +154,13 @@
     return found->status;
 }
 
-std::string encodeResponse(const finish_request &answer, std::string_view text, bool withText)
+std::string encodeAnswer(const finish_request &response, std::string_view text, bool withText)
 {
-    auto body = answerObject(answer);
-    if (answer.outcome == outcome_kind::complete && withText)
+    auto body = responseObject(response);
+    if (response.outcome == outcome_kind::complete && withText)
         body["text"] = text;
-    if (!answer.storedResponse.empty()) {
-        const auto stored = ordered_json::parse(answer.storedResponse, nullptr, false);
+    if (!response.storedResponse.empty()) {
+        const auto stored = ordered_json::parse(response.storedResponse, nullptr, false);
         if (stored.is_object())
             body.update(stored);
         body["repeated"] = true;
@@ -173,16 +173,16 @@
     return "data: " + dump({{"text", text}}) + "\n\n";
 }
 
-std::string encodeOutcomeEvent(const finish_request &answer)
+std::string encodeOutcomeEvent(const finish_request &response)
 {
-    return "event: outcome\ndata: " + encodeResponse(answer, {}, false) + "\n\n";
+    return "event: outcome\ndata: " + encodeAnswer(response, {}, false) + "\n\n";
 }
 
-std::string retryAfterOf(const finish_request &answer)
+std::string retryAfterOf(const finish_request &response)
 {
-    if (answer.retryAfter.count() <= 0)
+    if (response.retryAfter.count() <= 0)
         return {};
-    return std::to_string(std::chrono::ceil<std::chrono::seconds>(answer.retryAfter).count());
+    return std::to_string(std::chrono::ceil<std::chrono::seconds>(response.retryAfter).count());
 }
 
 } // namespace foxtaildyke
--- a/tests/test_caller_api.cpp
+++ b/tests/test_caller_api.cpp
@@ -1,4 +1,5 @@
-// Callers' API over real sockets: answers, streams, bad input, a caller that leaves, and the planned stop.
+// Callers' API over real sockets: complete and streamed responses, invalid requests, disconnecting callers and graceful
+// shutdown.
 #include "caller_api_p.h"
 #include "loopback_p.h"
 
@@ -19,10 +20,10 @@
     std::function<void(const caller_request &)> onRequest = [](const caller_request &) {
     };
     caller_api api{net.loop, [this](const core_input &input) {
-                       take(input);
+                       handleInput(input);
                    }};
     http_endpoint endpoint{"127.0.0.1", 0};
-    std::vector<http_response> replies;
+    std::vector<http_reply> responses;
 
     harness()
     {
@@ -31,13 +32,13 @@
         endpoint.port = port.value();
     }
 
-    void take(const core_input &input)
+    void handleInput(const core_input &input)
     {
         if (const auto *request = std::get_if<caller_request>(&input)) {
             requests.push_back(*request);
             onRequest(*request);
-        } else if (const auto *left = std::get_if<caller_gone>(&input)) {
-            gone.push_back(*left);
+        } else if (const auto *disconnected = std::get_if<caller_gone>(&input)) {
+            gone.push_back(*disconnected);
             net.stopSoon();
         }
     }
@@ -56,8 +57,8 @@
     http_call_id start(http_request request)
     {
         return net.client.start(std::move(request),
-                                {[this](http_response reply) {
-                                     replies.push_back(std::move(reply));
+                                {[this](http_reply response) {
+                                     responses.push_back(std::move(response));
                                      net.stopSoon();
                                  },
                                  {}});
@@ -65,28 +66,28 @@
 
     http_response call(http_request request)
     {
-        const auto before = replies.size();
+        const auto before = responses.size();
         start(std::move(request));
         REQUIRE(net.run());
-        REQUIRE(replies.size() == before + 1);
-        return replies.back();
+        REQUIRE(responses.size() == before + 1);
+        return responses.back();
     }
 
     static finish_request complete(request_token token)
     {
-        finish_request answer;
-        answer.request = token;
-        answer.outcome = outcome_kind::complete;
-        answer.requestId = "1-a";
-        answer.text = "rest";
-        answer.sessionToken = "token";
-        return answer;
+        finish_request response;
+        response.request = token;
+        response.outcome = outcome_kind::complete;
+        response.requestId = "1-a";
+        response.text = "rest";
+        response.sessionToken = "token";
+        return response;
     }
 };
 
 } // namespace
 
-TEST_CASE("an answer that comes later arrives whole with its parts joined")
+TEST_CASE("a delayed response that is not streamed contains all its parts")
 {
     harness test;
     test.onRequest = [&](const caller_request &request) {
@@ -96,16 +97,16 @@
         });
     };
     for (int round = 0; round < 3; ++round) {
-        const auto reply = test.call(test.request(kBody));
-        CHECK(reply.status == 200);
-        CHECK(nlohmann::json::parse(reply.body)["text"] == "first rest");
+        const auto response = test.call(test.request(kBody));
+        CHECK(response.status == 200);
+        CHECK(nlohmann::json::parse(response.body)["text"] == "first rest");
     }
     CHECK(test.net.client.idleConnections() == 1);
     CHECK(test.api.isIdle());
     CHECK(test.requests.back().apiKey == "key");
 }
 
-TEST_CASE("a stream carries its parts and ends with the outcome")
+TEST_CASE("a stream consists of its parts and a final outcome event")
 {
     harness test;
     test.onRequest = [&](const caller_request &request) {
@@ -113,46 +114,46 @@
         test.net.loop.after(std::chrono::milliseconds(5),
                             [&test, token = request.request] { test.api.finish(harness::complete(token)); });
     };
-    const auto reply = test.call(test.request(kStreamBody));
-    CHECK(reply.end == http_end::complete);
-    CHECK(reply.status == 200);
-    CHECK(reply.body.find("data: {\"text\":\"first \"}\n\ndata: {\"text\":\"rest\"}\n\nevent: outcome\n") == 0);
-    CHECK(reply.body.find(R"("outcome":"complete")") != std::string::npos);
+    const auto response = test.call(test.request(kStreamBody));
+    CHECK(response.end == http_end::answered);
+    CHECK(response.status == 200);
+    CHECK(response.body.find("data: {\"text\":\"first \"}\n\ndata: {\"text\":\"rest\"}\n\nevent: outcome\n") == 0);
+    CHECK(response.body.find(R"("outcome":"complete")") != std::string::npos);
     CHECK(test.api.isIdle());
 }
 
-TEST_CASE("a stream that fails after its first part ends with the failure")
+TEST_CASE("a stream that fails after its first part ends with an outcome event for the failure")
 {
     harness test;
     test.onRequest = [&](const caller_request &request) {
         test.api.chunk({request.request, "first "});
-        finish_request answer;
-        answer.request = request.request;
-        answer.outcome = outcome_kind::failed_after_run;
-        answer.reason = reason_code::answer_truncated;
-        test.api.finish(answer);
+        finish_request response;
+        response.request = request.request;
+        response.outcome = outcome_kind::failed_after_run;
+        response.reason = reason_code::answer_truncated;
+        test.api.finish(response);
     };
-    const auto reply = test.call(test.request(kStreamBody));
-    CHECK(reply.status == 200);
-    CHECK(reply.body.find(R"({"outcome":"failed_after_run","reason":"answer_truncated"})") != std::string::npos);
+    const auto response = test.call(test.request(kStreamBody));
+    CHECK(response.status == 200);
+    CHECK(response.body.find(R"({"outcome":"failed_after_run","reason":"answer_truncated"})") != std::string::npos);
 }
 
-TEST_CASE("a refused stream has the status of its reason and Retry-After")
+TEST_CASE("a rejected stream has the status of its reason and Retry-After")
 {
     harness test;
     test.onRequest = [&](const caller_request &request) {
-        finish_request answer;
-        answer.request = request.request;
-        answer.reason = reason_code::rate_limited;
-        answer.retryAfter = std::chrono::milliseconds(1500);
-        test.api.finish(answer);
+        finish_request response;
+        response.request = request.request;
+        response.reason = reason_code::rate_limited;
+        response.retryAfter = std::chrono::milliseconds(1500);
+        test.api.finish(response);
     };
-    const auto reply = test.call(test.request(kStreamBody));
-    CHECK(reply.status == 429);
-    CHECK(reply.retryAfter == "2");
+    const auto response = test.call(test.request(kStreamBody));
+    CHECK(response.status == 429);
+    CHECK(response.retryAfter == "2");
 }
 
-TEST_CASE("bad requests are answered without the core")
+TEST_CASE("invalid requests are rejected without the core")
 {
     harness test;
     auto noKey = test.request(kBody);
@@ -174,14 +175,14 @@
     CHECK(test.api.isIdle());
 }
 
-TEST_CASE("a caller that closes its connection is reported once and its answer is dropped")
+TEST_CASE("a caller that closes its connection is reported once and its response is discarded")
 {
     harness test;
     http_call_id call{};
     test.onRequest = [&](const caller_request &) {
         test.net.loop.after(std::chrono::milliseconds(5), [&] { test.net.client.cancel(call); });
     };
-    SUBCASE("before the answer")
+    SUBCASE("before the response")
     {
         call = test.start(test.request(kBody));
     }
@@ -198,10 +199,10 @@
     CHECK(test.gone[0].request == test.requests[0].request);
     test.api.finish(harness::complete(test.requests[0].request));
     CHECK(test.api.isIdle());
-    CHECK(test.replies.empty());
+    CHECK(test.responses.empty());
 }
 
-TEST_CASE("a planned stop turns the health check, finishes open streams and closes connections")
+TEST_CASE("a graceful shutdown fails the health check, finishes open streams and closes connections")
 {
     harness test;
     auto health = test.request("");
@@ -215,9 +216,9 @@
         test.net.loop.after(std::chrono::milliseconds(20),
                             [&test, token = request.request] { test.api.finish(harness::complete(token)); });
     };
-    const auto reply = test.call(test.request(kStreamBody));
-    CHECK(reply.end == http_end::complete);
-    CHECK(reply.body.find(R"("outcome":"complete")") != std::string::npos);
+    const auto response = test.call(test.request(kStreamBody));
+    CHECK(response.end == http_end::answered);
+    CHECK(response.body.find(R"("outcome":"complete")") != std::string::npos);
     CHECK(test.api.isIdle());
     CHECK(test.call(health).status == 503);
 }
--- a/tests/test_caller_protocol.cpp
+++ b/tests/test_caller_protocol.cpp
@@ -1,5 +1,5 @@
-// Callers' protocol: a malformed request must be refused with the field that is wrong, and every outcome must have the
-// status that the design states.
+// Callers' protocol: a malformed request must be rejected with the offending field, and every outcome must map to the
+// HTTP status that the protocol specifies.
 #include "caller_protocol_p.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("a whole request is read with all its headers")
+TEST_CASE("a complete request is decoded with all its headers")
 {
     const auto decoded =
         decodeCallerRequest(kHeaders, R"({"kind":"k","prompt":"p","max_tokens":7,"stream":true,"extra":1})");
@@ -38,7 +38,7 @@
     CHECK(request.stream);
 }
 
-TEST_CASE("bad input is refused with the offending field")
+TEST_CASE("an invalid body is rejected with the offending field")
 {
     struct bad_input {
         const char *body;
@@ -65,7 +65,7 @@
     }
 }
 
-TEST_CASE("a missing key, a bad deadline and a large body are refused")
+TEST_CASE("a missing key, an invalid deadline and an oversized body are rejected")
 {
     constexpr const char *kBody = R"({"kind":"k","prompt":"p"})";
     for (const char *authorization : {"", "key", "Basic key", "Bearer "}) {
@@ -81,7 +81,7 @@
     CHECK(refusalOf(kHeaders, std::string(kCallerBodyLimitBytes + 1, ' ')).reason == reason_code::body_too_large);
 }
 
-TEST_CASE("outcomes and reasons have the statuses of the design")
+TEST_CASE("outcomes and reasons map to the specified HTTP statuses")
 {
     using enum outcome_kind;
     CHECK(httpStatusOf(complete, reason_code::none) == 200);
@@ -97,21 +97,21 @@
     CHECK(httpStatusOf(failed_after_run, reason_code::deadline_exceeded) == 504);
 }
 
-TEST_CASE("only a complete answer carries model, tokens and cost")
+TEST_CASE("only a complete response carries model, tokens and cost")
 {
-    finish_request answer;
-    answer.outcome = outcome_kind::failed_after_run;
-    answer.reason = reason_code::answer_truncated;
-    answer.model = "m";
-    const auto failed = nlohmann::json::parse(encodeResponse(answer, "part", true));
+    finish_request response;
+    response.outcome = outcome_kind::failed_after_run;
+    response.reason = reason_code::answer_truncated;
+    response.model = "m";
+    const auto failed = nlohmann::json::parse(encodeAnswer(response, "part", true));
     CHECK(failed["outcome"] == "failed_after_run");
     CHECK(failed["reason"] == "answer_truncated");
     CHECK(!failed.contains("text"));
     CHECK(!failed.contains("model"));
-    answer.outcome = outcome_kind::complete;
-    answer.reason = reason_code::none;
-    answer.costMicroUnits = 12;
-    const auto complete = nlohmann::json::parse(encodeResponse(answer, "whole", true));
+    response.outcome = outcome_kind::complete;
+    response.reason = reason_code::none;
+    response.costMicroUnits = 12;
+    const auto complete = nlohmann::json::parse(encodeAnswer(response, "whole", true));
     CHECK(complete["text"] == "whole");
     CHECK(complete["cost_micro_units"] == 12);
     CHECK(!complete.contains("reason"));
@@ -119,10 +119,10 @@
 
 TEST_CASE("Retry-After is rounded up to whole seconds")
 {
-    finish_request answer;
-    CHECK(retryAfterOf(answer).empty());
-    answer.retryAfter = std::chrono::milliseconds(1);
-    CHECK(retryAfterOf(answer) == "1");
-    answer.retryAfter = std::chrono::milliseconds(2001);
-    CHECK(retryAfterOf(answer) == "3");
+    finish_request response;
+    CHECK(retryAfterOf(response).empty());
+    response.retryAfter = std::chrono::milliseconds(1);
+    CHECK(retryAfterOf(response) == "1");
+    response.retryAfter = std::chrono::milliseconds(2001);
+    CHECK(retryAfterOf(response) == "3");
 }
