--- a/src/event_loop.cpp
+++ b/src/event_loop.cpp
@@ -18,12 +18,13 @@
             static_cast<suseconds_t>(value % kMicrosecondsPerSecond)};
 }
 
-/// libevent needs its locks before the first base, so that event_active() may be called from other threads.
+/// libevent's thread support must be enabled before the first base is created, so that event_active() may be called
+/// from other threads.
 event_base *newBase()
 {
     static const int s_threads = evthread_use_pthreads();
     (void)s_threads;
-    // Without the precise timer epoll rounds each delay up to whole milliseconds: 2 ms became about 4 ms.
+    // Without the precise timer epoll rounds each delay up to whole milliseconds, which turned 2 ms into about 4 ms.
     auto *config = event_config_new();
     event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
     auto *base = event_base_new_with_config(config);
--- a/src/event_loop_p.h
+++ b/src/event_loop_p.h
@@ -1,5 +1,5 @@
-// One task: a libevent base with its own thread, a mailbox for messages from other tasks, and timers. Everything that a
-// task owns is touched on its thread only.
+// A task: a libevent base that runs on a thread of its own, a mailbox for messages from other tasks, and timers. All
+// state that a task owns is accessed on its thread only.
 #pragma once
 
 #include "foxtaildyke/foxtaildyke.h"
@@ -24,7 +24,7 @@
     event_loop(const event_loop &) = delete;
     event_loop &operator=(const event_loop &) = delete;
 
-    /// Runs until stop(); on the calling thread.
+    /// Runs the loop on the calling thread until stop().
     void run();
 
     /// Ends run(). Safe from any thread.
@@ -33,10 +33,10 @@
     /// Runs a message on the task's thread. Safe from any thread.
     void post(std::function<void()> message);
 
-    /// Runs a callback once after a delay. Only on the task's thread.
+    /// Runs a callback once after a delay. To be called on the task's thread only.
     void after(std::chrono::microseconds delay, std::function<void()> callback);
 
-    /// Runs a callback on a signal of the process. Only before run().
+    /// Runs a callback whenever the process receives a signal. To be called before run() only.
     void onSignal(int signal, std::function<void()> callback);
 
     /// @returns monotonic time of this host.
@@ -55,7 +55,7 @@
     std::vector<std::unique_ptr<signal_handler>> m_signals;
 };
 
-/// A timer of one task that can be restarted and stopped; destroying it stops it.
+/// Restartable one-shot timer of a task. Destroying it stops it.
 class loop_timer
 {
 public:
@@ -64,7 +64,7 @@
     loop_timer(const loop_timer &) = delete;
     loop_timer &operator=(const loop_timer &) = delete;
 
-    /// Runs the callback once after a delay; a delay set before is replaced.
+    /// Runs the callback once after a delay; replaces a delay set earlier.
     void start(std::chrono::microseconds delay);
     void stop();
 
--- a/src/event_splitter.cpp
+++ b/src/event_splitter.cpp
@@ -28,14 +28,14 @@
     return std::nullopt;
 }
 
-/// @returns length of the first event with its blank line, or 0 where it is not complete.
+/// @returns the length of the first event including its blank line, or 0 if it is incomplete.
 std::size_t eventLength(std::string_view text)
 {
-    const auto unixEnd = text.find("\n\n");
-    const auto netEnd = text.find("\r\n\r\n");
-    if (unixEnd != std::string_view::npos && unixEnd < netEnd)
-        return unixEnd + 2;
-    return netEnd == std::string_view::npos ? 0 : netEnd + 4;
+    const auto lfEnd = text.find("\n\n");
+    const auto crlfEnd = text.find("\r\n\r\n");
+    if (lfEnd != std::string_view::npos && lfEnd < crlfEnd)
+        return lfEnd + 2;
+    return crlfEnd == std::string_view::npos ? 0 : crlfEnd + 4;
 }
 
 } // namespace
--- a/src/event_splitter_p.h
+++ b/src/event_splitter_p.h
@@ -1,4 +1,5 @@
-// Splits an event stream (text/event-stream) into whole events, so that a stream that breaks off never ends within one.
+// Splits an event stream (text/event-stream) into complete events, so that a stream that breaks off can be forwarded up
+// to its last complete event.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +14,13 @@
 class event_splitter
 {
 public:
-    /// @param id of the event, or nothing where it has none.
+    /// @param id id of the event, if it has one.
     using event_sink = std::function<void(std::string_view event, std::optional<std::uint64_t> id)>;
 
-    /// Takes bytes of the stream; calls the sink with each event that is complete, its blank line included.
+    /// Consumes bytes of the stream and calls the sink with each complete event, including its blank line.
     void feed(std::string_view bytes, const event_sink &onEvent);
 
-    /// @returns bytes after the last whole event.
+    /// @returns the bytes after the last complete event.
     [[nodiscard]] std::string_view rest() const { return m_rest; }
 
     void reset() { m_rest.clear(); }
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -17,12 +17,12 @@
 namespace
 {
 
-constexpr std::size_t kIdlePerEndpoint = 64;
+constexpr std::size_t kMaxIdlePerEndpoint = 64;
 
 constexpr std::array kMethods{EVHTTP_REQ_GET, EVHTTP_REQ_POST, EVHTTP_REQ_PUT, EVHTTP_REQ_DELETE};
 static_assert(kMethods.size() == static_cast<std::size_t>(http_method::count));
 
-std::string takeAll(evbuffer *buffer)
+std::string drainBuffer(evbuffer *buffer)
 {
     std::string text(evbuffer_get_length(buffer), '\0');
     evbuffer_remove(buffer, text.data(), text.size());
@@ -34,9 +34,9 @@
     return static_cast<int>(std::chrono::ceil<std::chrono::seconds>(time).count());
 }
 
-std::string headerOf(evhttp_request *response, const char *name)
+std::string headerOf(evhttp_request *evhttpResponse, const char *name)
 {
-    const char *value = evhttp_find_header(evhttp_request_get_input_headers(response), name);
+    const char *value = evhttp_find_header(evhttp_request_get_input_headers(evhttpResponse), name);
     return value ? value : "";
 }
 
@@ -76,17 +76,17 @@
     evhttp_connection *connection = nullptr;
     std::string body;
     int lastStatus = 0; ///< 0 until the status line has arrived
-    bool isEnded = false; ///< its handlers don't run any more
+    bool isEnded = false; ///< its handlers are no longer called
     loop_timer timeout;
 };
 
 http_client::http_client(event_loop &loop, std::chrono::microseconds idleLimit)
     : m_loop(loop)
     , m_idleLimit(idleLimit)
-    , m_cleanup(loop, [this] { freeDiscarded(); })
-    , m_prune(loop, [this] { pruneIdle(); })
+    , m_cleanupTimer(loop, [this] { freeDiscarded(); })
+    , m_pruneTimer(loop, [this] { pruneIdle(); })
 {
-    m_prune.start(m_idleLimit);
+    m_pruneTimer.start(m_idleLimit);
 }
 
 http_client::~http_client()
@@ -100,7 +100,7 @@
     freeDiscarded();
 }
 
-evhttp_connection *http_client::takeConnection(const http_endpoint &endpoint)
+evhttp_connection *http_client::acquireConnection(const http_endpoint &endpoint)
 {
     auto &idle = m_idle[endpoint];
     while (!idle.empty()) {
@@ -115,15 +115,15 @@
                                                   endpoint.port);
 }
 
-void http_client::giveBack(const http_endpoint &endpoint, evhttp_connection *connection)
+void http_client::releaseConnection(const http_endpoint &endpoint, evhttp_connection *connection)
 {
     auto &idle = m_idle[endpoint];
-    if (idle.size() >= kIdlePerEndpoint) {
+    if (idle.size() >= kMaxIdlePerEndpoint) {
         discard(connection, nullptr);
         return;
     }
-    // evhttp offers no hook between connecting and the first request, so the options count from the second request on.
-    setTcpOptions(bufferevent_getfd(evhttp_connection_get_bufferevent(connection)), kTcpUserTimeout);
+    // evhttp offers no hook between connecting and the first request, so the options apply from the second request on.
+    tuneSocket(bufferevent_getfd(evhttp_connection_get_bufferevent(connection)), kUnacknowledgedLimit);
     idle.push_back({connection, event_loop::now()});
 }
 
@@ -132,7 +132,7 @@
     if (owner)
         owner->isEnded = true;
     m_discarded.emplace_back(connection, std::move(owner));
-    m_cleanup.start(std::chrono::microseconds{0});
+    m_cleanupTimer.start(std::chrono::microseconds{0});
 }
 
 void http_client::freeDiscarded()
@@ -145,8 +145,8 @@
 
 void http_client::pruneIdle()
 {
-    // Endpoints of replaced hosts never come back; without this their connections would pile up.
-    m_prune.start(m_idleLimit);
+    // The endpoint of a replaced host is never used again; without this its idle connections would accumulate.
+    m_pruneTimer.start(m_idleLimit);
     const auto oldest = event_loop::now() - m_idleLimit;
     for (auto &[endpoint, connections] : m_idle)
         std::erase_if(connections, [&](const idle_connection &idle) {
@@ -164,12 +164,12 @@
     auto open = std::make_unique<call>(*this, id);
     open->request = std::move(request);
     open->handlers = std::move(handlers);
-    open->connection = takeConnection(open->request.endpoint);
+    open->connection = acquireConnection(open->request.endpoint);
     auto &reference = *open;
     m_calls.emplace(id, std::move(open));
     reference.timeout.start(reference.request.timeout);
-    // evhttp reports a refused connect from inside evhttp_make_request(); sending from the mailbox keeps the promise
-    // that no handler runs before start() returns.
+    // evhttp reports a refused connection from inside evhttp_make_request(); sending from the mailbox guarantees that
+    // no handler runs before start() returns.
     m_loop.post([this, id, alive = m_alive] {
         if (!*alive)
             return;
@@ -182,13 +182,13 @@
 
 bool http_client::send(call &open)
 {
-    const auto onDone = [](evhttp_request *response, void *argument) {
+    const auto onDone = [](evhttp_request *evhttpResponse, void *argument) {
         auto &self = *static_cast<call *>(argument);
-        self.client.onResponse(self, response);
+        self.client.onResponse(self, evhttpResponse);
     };
-    const auto onChunk = [](evhttp_request *response, void *argument) {
+    const auto onChunk = [](evhttp_request *evhttpResponse, void *argument) {
         auto &self = *static_cast<call *>(argument);
-        self.client.onBodyPart(self, response);
+        self.client.onBodyPart(self, evhttpResponse);
     };
     auto *request = evhttp_request_new(onDone, &open);
     evhttp_request_set_chunked_cb(request, onChunk);
@@ -206,63 +206,63 @@
     return isMade || !m_calls.contains(id);
 }
 
-void http_client::onBodyPart(call &open, evhttp_request *response)
+void http_client::onBodyPart(call &open, evhttp_request *evhttpResponse)
 {
     if (open.isEnded)
         return;
-    open.lastStatus = evhttp_request_get_response_code(response);
-    auto data = takeAll(evhttp_request_get_input_buffer(response));
+    open.lastStatus = evhttp_request_get_response_code(evhttpResponse);
+    auto data = drainBuffer(evhttp_request_get_input_buffer(evhttpResponse));
     if (open.handlers.onData)
         open.handlers.onData(open.lastStatus, data);
     else
         open.body += data;
 }
 
-void http_client::onResponse(call &open, evhttp_request *response)
+void http_client::onResponse(call &open, evhttp_request *evhttpResponse)
 {
     if (open.isEnded)
         return;
-    http_response reply;
-    if (!response) {
-        reply.status = open.lastStatus;
-        finish(open, std::move(reply));
+    http_reply response;
+    if (!evhttpResponse) {
+        response.status = open.lastStatus;
+        finish(open, std::move(response));
         return;
     }
-    reply.status = evhttp_request_get_response_code(response);
-    if (reply.status == 0) {
-        reply.end = http_end::not_connected;
-        reply.sent = false;
-        finish(open, std::move(reply));
+    response.status = evhttp_request_get_response_code(evhttpResponse);
+    if (response.status == 0) {
+        response.end = http_end::not_connected;
+        response.sent = false;
+        finish(open, std::move(response));
         return;
     }
-    reply.end = http_end::complete;
-    reply.body = std::move(open.body);
-    reply.body += takeAll(evhttp_request_get_input_buffer(response));
-    reply.etag = headerOf(response, "ETag");
-    reply.retryAfter = headerOf(response, "Retry-After");
-    finish(open, std::move(reply));
+    response.end = http_end::answered;
+    response.body = std::move(open.body);
+    response.body += drainBuffer(evhttp_request_get_input_buffer(evhttpResponse));
+    response.etag = headerOf(evhttpResponse, "ETag");
+    response.retryAfter = headerOf(evhttpResponse, "Retry-After");
+    finish(open, std::move(response));
 }
 
 void http_client::onTimeout(call &open)
 {
-    http_response reply;
-    reply.end = http_end::timed_out;
-    reply.status = open.lastStatus;
-    finish(open, std::move(reply));
+    http_reply response;
+    response.end = http_end::timed_out;
+    response.status = open.lastStatus;
+    finish(open, std::move(response));
 }
 
-void http_client::finish(call &open, http_response reply)
+void http_client::finish(call &open, http_reply response)
 {
     const auto found = m_calls.find(open.id);
     auto owned = std::move(found->second);
     m_calls.erase(found);
     owned->timeout.stop();
     const auto onDone = std::move(owned->handlers.onDone);
-    if (reply.end == http_end::complete)
-        giveBack(owned->request.endpoint, owned->connection);
+    if (response.end == http_end::answered)
+        releaseConnection(owned->request.endpoint, owned->connection);
     else
         discard(open.connection, std::move(owned));
-    onDone(std::move(reply));
+    onDone(std::move(response));
 }
 
 std::size_t http_client::idleConnections() const
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -44,7 +44,7 @@
     return query;
 }
 
-/// Parts of a streamed answer are small and must not wait for the acknowledgement of the part before.
+/// Parts of a streamed response are small and must not wait for the acknowledgement of the previous part.
 void disableNagle(evhttp_connection *connection)
 {
     const int isOn = 1;
@@ -76,7 +76,7 @@
     evbuffer_remove(buffer, body.data(), body.size());
     const auto closed = [](evhttp_connection *, void *argument) {
         auto &self = *static_cast<http_exchange *>(argument);
-        // libevent keeps a request whose answer is not complete; it is released by ending the answer.
+        // libevent keeps a request whose response is incomplete; ending the response releases it.
         auto *open = std::exchange(self.m_request, nullptr);
         if (open && !evhttp_request_get_connection(open))
             evhttp_send_reply_end(open);
@@ -154,8 +154,8 @@
         return;
     auto *connection = evhttp_request_get_connection(m_request);
     detach();
-    // The connection must not be freed inside evhttp's own callbacks; until then evhttp may free it itself, where the
-    // client closes it.
+    // The connection must not be freed inside evhttp's own callbacks, so it is freed in the next loop iteration. Until
+    // then evhttp may free it itself if the client closes it.
     struct dropped_connection {
         evhttp_connection *connection;
     };
--- a/src/http_server_p.h
+++ b/src/http_server_p.h
@@ -1,5 +1,5 @@
-// Small HTTP server of one task over evhttp, for administration addresses and the stand-ins. Callers' requests come
-// through caller_api instead.
+// Small HTTP server of a task over evhttp, for administration addresses and the stand-ins. Callers' requests arrive at
+// caller_api instead.
 #pragma once
 
 #include "http_client_p.h"
@@ -9,7 +9,7 @@
 namespace foxtaildyke
 {
 
-/// One request being served. Keep the pointer until it is answered or dropped.
+/// A request being served. The pointer must be kept until a response has been sent or drop() was called.
 class http_exchange
 {
 public:
@@ -19,12 +19,12 @@
     http_exchange &operator=(const http_exchange &) = delete;
 
     http_method method = http_method::get;
-    std::string path; ///< decoded, without query
+    std::string path; ///< percent-decoded, without the query
     std::map<std::string, std::string> query;
     std::string body;
-    std::function<void()> onClosed; ///< the client closed the connection before the answer was complete
+    std::function<void()> onClosed; ///< the client closed the connection before the response was complete
 
-    /// @returns the value of a request header, or empty.
+    /// @returns the value of a request header, or an empty string.
     [[nodiscard]] std::string header(const char *name) const;
 
     void respond(int status, std::string_view text, const http_headers &headers = {});
@@ -32,19 +32,19 @@
     void chunk(std::string_view text);
     void endChunks();
 
-    /// Closes the connection without an answer, or in the middle of one.
+    /// Closes the connection without a response, or in the middle of one.
     void drop();
 
-    /// @returns whether the client can still be answered.
+    /// @returns whether a response can still be sent.
     [[nodiscard]] bool isOpen() const { return m_request != nullptr; }
 
-    /// Watches for the client closing the connection while the answer is prepared.
+    /// Detects that the client closes the connection while the response is being prepared.
     void watchClose();
 
 private:
     void detach();
 
-    evhttp_request *m_request = nullptr; ///< null once answered, dropped or closed
+    evhttp_request *m_request = nullptr; ///< null once the response is complete, or the connection dropped or closed
 };
 
 using http_exchange_ptr = std::shared_ptr<http_exchange>;
@@ -59,7 +59,7 @@
     http_server(const http_server &) = delete;
     http_server &operator=(const http_server &) = delete;
 
-    /// Starts listening; port 0 takes a free one.
+    /// Starts listening; port 0 selects a free port.
     /// @returns the port.
     [[nodiscard]] result<std::uint16_t> listen(const http_endpoint &endpoint);
 
--- a/src/socket_options.cpp
+++ b/src/socket_options.cpp
@@ -18,10 +18,10 @@
 
 } // namespace
 
-void setTcpOptions(int socket, std::chrono::milliseconds unacknowledgedLimit)
+void tuneSocket(int socket, std::chrono::milliseconds userTimeout)
 {
     setOption(socket, IPPROTO_TCP, TCP_NODELAY, 1);
-    setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(unacknowledgedLimit.count()));
+    setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(userTimeout.count()));
     setOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(kProbeInterval.count()));
     setOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, static_cast<int>(kProbeInterval.count()));
--- a/src/socket_options_p.h
+++ b/src/socket_options_p.h
@@ -1,4 +1,4 @@
-// Options of TCP connections: small parts leave at once, and peers that fell silent are found.
+// Options of TCP connections: small writes are sent immediately, and unresponsive peers are detected.
 #pragma once
 
 #include <chrono>
@@ -6,20 +6,20 @@
 namespace foxtaildyke
 {
 
-/// Time for which bytes written to a replica or the store may stay unacknowledged: seven times the first retransmission
-/// time of TCP (200 ms), so that three losses in a row don't end the connection.
-inline constexpr std::chrono::milliseconds kTcpUserTimeout{1500};
+/// Maximum time for which bytes sent to a replica or the store may stay unacknowledged: about seven times TCP's initial
+/// retransmission timeout (200 ms), so that three consecutive losses don't end the connection.
+inline constexpr std::chrono::milliseconds kUnacknowledgedLimit{1500};
 
-/// The same for callers, who may be slow to read.
-inline constexpr std::chrono::milliseconds kCallerTcpUserTimeout{8000};
+/// The same for callers, which may read slowly.
+inline constexpr std::chrono::milliseconds kCallerUnacknowledgedLimit{8000};
 
-/// Idle time before the first keep-alive probe, and between probes; the kernel counts whole seconds.
+/// Idle time before the first keep-alive probe and between probes; the kernel counts whole seconds.
 inline constexpr std::chrono::seconds kProbeInterval{1};
 
-/// Probes without an answer until the connection fails.
-inline constexpr int kMaxProbes = 2;
+/// Unacknowledged probes after which the connection fails.
+inline constexpr int kProbes = 2;
 
-/// Sets all of these on a connected or connecting socket.
-void setTcpOptions(int socket, std::chrono::milliseconds unacknowledgedLimit);
+/// Sets all of these options on a connected or connecting socket.
+void tuneSocket(int socket, std::chrono::milliseconds userTimeout);
 
 } // namespace foxtaildyke
--- a/src/stream_socket.cpp
+++ b/src/stream_socket.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// Bytes received and not yet handled at which reading pauses.
+/// Reading pauses when this many received bytes have not been consumed.
 constexpr std::size_t kReceiveLimitBytes = 256U << 10U;
 
 } // namespace
@@ -38,7 +38,8 @@
     address.sin_port = htons(peer.port);
     inet_pton(AF_INET, peer.address.c_str(), &address.sin_addr);
     if (bufferevent_socket_connect(m_stream, reinterpret_cast<sockaddr *>(&address), sizeof(address)) != 0) {
-        // The owner must not be called back from its own call; the failure comes with the next turn of the loop.
+        // The owner must not be called back from within its own call; the failure is reported in the next loop
+        // iteration.
         bufferevent_trigger_event(m_stream, BEV_EVENT_ERROR, BEV_OPT_DEFER_CALLBACKS);
     }
 }
@@ -48,9 +49,9 @@
     bufferevent_free(m_stream);
 }
 
-void stream_socket::open(int socket, std::chrono::milliseconds unacknowledgedLimit)
+void stream_socket::open(int socket, std::chrono::milliseconds userTimeout)
 {
-    setTcpOptions(socket, unacknowledgedLimit);
+    tuneSocket(socket, userTimeout);
     m_stream = bufferevent_socket_new(m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     bufferevent_setcb(m_stream, onRead, onWrite, onEvent, this);
     bufferevent_setwatermark(m_stream, EV_READ, 0, kReceiveLimitBytes);
--- a/src/stream_socket_p.h
+++ b/src/stream_socket_p.h
@@ -1,4 +1,4 @@
-// A TCP connection of a task over a bufferevent, with the socket options that find peers which fell silent.
+// A TCP connection of a task over a bufferevent, with the socket options that detect unresponsive peers.
 #pragma once
 
 #include "event_loop_p.h"
@@ -15,8 +15,8 @@
 
 /// How a connection ended.
 enum class socket_end : std::uint8_t {
-    closed, ///< the peer closed in order
-    failed, ///< reset, timed out or not reachable
+    closed, ///< the peer closed the connection in an orderly way
+    failed, ///< reset, timed out or unreachable
     count
 };
 
@@ -33,33 +33,33 @@
     /// Takes over an accepted connection.
     stream_socket(event_loop &loop, int socket, handlers handlers);
 
-    /// Starts to connect.
+    /// Starts connecting to a peer.
     stream_socket(event_loop &loop, const http_endpoint &peer, handlers handlers);
 
     ~stream_socket();
     stream_socket(const stream_socket &) = delete;
     stream_socket &operator=(const stream_socket &) = delete;
 
-    /// Replaces all handlers, as when a kept connection gets its next owner.
+    /// Replaces all handlers, for example when an idle connection gets its next owner.
     void setHandlers(handlers handlers) { m_handlers = std::move(handlers); }
 
     void write(std::string_view bytes);
 
-    /// @returns bytes received and not yet dropped. The view holds until the next call.
+    /// @returns the bytes received and not yet consumed. The view is valid until the next call.
     [[nodiscard]] std::string_view received();
     void consume(std::size_t bytes);
 
-    /// @returns bytes that wait to be written.
+    /// @returns the number of bytes not yet handed to the kernel.
     [[nodiscard]] std::size_t pendingBytes() const;
 
-    /// Stops or resumes reading, to slow a fast peer.
+    /// Stops or resumes reading, for back-pressure on a fast peer.
     void setReading(bool isOn);
 
-    /// Tells the peer that nothing more will be written.
+    /// Closes the write side; the peer reads an end of file.
     void shutdownWrite();
 
 private:
-    void open(int socket, std::chrono::milliseconds unacknowledgedLimit);
+    void open(int socket, std::chrono::milliseconds userTimeout);
     static void onRead(bufferevent *stream, void *self);
     static void onWrite(bufferevent *stream, void *self);
     static void onEvent(bufferevent *stream, short what, void *self);
--- a/tests/loopback_p.h
+++ b/tests/loopback_p.h
@@ -25,8 +25,8 @@
         endpoint.port = port.value();
     }
 
-    /// Runs the loop until stop() or until the limit, which only ends a test that hangs.
-    /// @returns whether stop() ended it.
+    /// Runs the loop until stop(), or until a time limit that only ends a test that hangs.
+    /// @returns whether stop() ended the loop.
     bool run()
     {
         constexpr std::chrono::seconds kLimit{20};
@@ -40,7 +40,7 @@
         return !isLate;
     }
 
-    /// Lets callbacks that are already due run, then stops.
+    /// Stops the loop after a short delay, so that callbacks that are already due still run.
     void stopSoon()
     {
         loop.after(std::chrono::milliseconds(30), [this] { loop.stop(); });
--- a/tests/test_event_loop.cpp
+++ b/tests/test_event_loop.cpp
@@ -1,4 +1,4 @@
-// Event loop: messages of one sender must run in order, and none may be lost between threads.
+// Event loop: messages of one sender must run in order, and no message may be lost between threads.
 #include "event_loop_p.h"
 
 #include <doctest/doctest.h>
@@ -32,7 +32,7 @@
     }
 }
 
-TEST_CASE("a message posted by a message runs after those that wait already")
+TEST_CASE("a message posted from a message runs after those already queued")
 {
     event_loop loop;
     std::string order;
--- a/tests/test_http_client.cpp
+++ b/tests/test_http_client.cpp
@@ -1,4 +1,4 @@
-// HTTP client: connections to hosts that were replaced must not pile up, and endpoints must be IP addresses.
+// HTTP client: idle connections to replaced hosts must not accumulate, and endpoints must be IP addresses.
 #include "loopback_p.h"
 
 using namespace foxtaildyke;
@@ -13,15 +13,15 @@
     http_request request;
     request.endpoint = net.endpoint;
     request.path = "/";
-    std::size_t idleAfterReply = 0;
+    std::size_t idleAfterResponse = 0;
     client.start(request,
-                 {[&](const http_response &) {
-                      idleAfterReply = client.idleConnections();
+                 {[&](const http_reply &) {
+                      idleAfterResponse = client.idleConnections();
                       net.loop.after(std::chrono::milliseconds(200), [&] { net.loop.stop(); });
                   },
                   {}});
     REQUIRE(net.run());
-    CHECK(idleAfterReply == 1);
+    CHECK(idleAfterResponse == 1);
     CHECK(client.idleConnections() == 0);
 }
 
@@ -34,7 +34,7 @@
     http_request request;
     request.endpoint = net.endpoint;
     request.path = "/";
-    // The call whose data comes first cancels the other one; which it is does not matter.
+    // The call whose data arrives first cancels the other one; the order does not matter.
     std::array<http_call_id, 2> calls{};
     int parts = 0;
     int ends = 0;
