--- a/src/upstream_client.cpp
+++ b/src/upstream_client.cpp
@@ -13,7 +13,7 @@
 {
 
 constexpr std::string_view kDataPrefix = "data: ";
-constexpr std::string_view kLastEvent = "[DONE]";
+constexpr std::string_view kEndMarker = "[DONE]";
 
 using nlohmann::json;
 
@@ -29,9 +29,9 @@
     return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-attempt_failure failureOf(const http_response &reply)
+attempt_failure failureOf(const http_reply &response)
 {
-    switch (reply.end) {
+    switch (response.end) {
     case http_end::not_connected:
         return attempt_failure::not_sent;
     case http_end::broken:
@@ -41,14 +41,14 @@
     default:
         break;
     }
-    if (reply.status == http_status::kOk)
+    if (response.status == http_status::kOk)
         return attempt_failure::truncated;
-    if (reply.status == http_status::kTooManyRequests || reply.status == http_status::kServiceUnavailable)
+    if (response.status == http_status::kTooManyRequests || response.status == http_status::kServiceUnavailable)
         return attempt_failure::overloaded;
     return attempt_failure::rejected;
 }
 
-/// @returns a count of tokens, or nothing where the field is missing or no such number.
+/// @returns a token count, or nothing if the field is missing or not a valid count.
 std::optional<std::uint32_t> tokensIn(const json &event, const char *field)
 {
     const auto found = event.find(field);
@@ -59,13 +59,14 @@
 
 } // namespace
 
-struct upstream_client::running {
+struct upstream_client::running_attempt {
     attempt_token token{};
     std::string id; ///< echoed by the upstream in each event
     http_call_id call{};
-    std::unique_ptr<evbuffer, buffer_deleter> input{evbuffer_new()}; ///< received and not yet a whole line
+    std::unique_ptr<evbuffer, buffer_deleter> input{
+        evbuffer_new()}; ///< received bytes that don't form a complete line yet
     std::optional<attempt_done> finish; ///< set by the finish event
-    bool isSettled = false; ///< done, failed or cancelled was reported
+    bool isFinished = false; ///< the attempt was reported as done or failed, or was cancelled
 };
 
 upstream_client::upstream_client(event_loop &, http_client &client, std::string hostName, core_sink deliver)
@@ -84,7 +85,7 @@
 void upstream_client::start(const start_attempt &attempt)
 {
     const auto number = static_cast<std::uint64_t>(attempt.attempt);
-    auto state = std::make_shared<running>();
+    auto state = std::make_shared<running_attempt>();
     state->token = attempt.attempt;
     state->id = m_idPrefix + std::to_string(number);
     http_request request;
@@ -98,8 +99,8 @@
     handlers.onData = [this, state](int status, std::string_view data) {
         onData(state, status, data);
     };
-    handlers.onDone = [this, state](const http_response &reply) {
-        onEnd(*state, reply);
+    handlers.onDone = [this, state](const http_reply &response) {
+        onEnd(*state, response);
     };
     state->call = m_client.start(std::move(request), std::move(handlers));
     m_running.emplace(number, std::move(state));
@@ -110,18 +111,18 @@
     const auto found = m_running.find(static_cast<std::uint64_t>(attempt));
     if (found == m_running.end())
         return;
-    found->second->isSettled = true;
+    found->second->isFinished = true;
     m_client.cancel(found->second->call);
     m_running.erase(found);
 }
 
-void upstream_client::onData(const std::shared_ptr<running> &attempt, int status, std::string_view data)
+void upstream_client::onData(const std::shared_ptr<running_attempt> &attempt, int status, std::string_view data)
 {
     if (status != http_status::kOk)
         return;
     evbuffer_add(attempt->input.get(), data.data(), data.size());
     std::size_t size = 0;
-    while (!attempt->isSettled) {
+    while (!attempt->isFinished) {
         char *line = evbuffer_readln(attempt->input.get(), &size, EVBUFFER_EOL_CRLF);
         if (!line)
             return;
@@ -130,21 +131,21 @@
     }
 }
 
-void upstream_client::onLine(running &attempt, std::string_view line)
+void upstream_client::onLine(running_attempt &attempt, std::string_view line)
 {
     if (!line.starts_with(kDataPrefix))
         return;
     const auto payload = line.substr(kDataPrefix.size());
-    if (payload != kLastEvent) {
+    if (payload != kEndMarker) {
         onEvent(attempt, payload);
         return;
     }
-    // Without the finish event the token count is missing: the answer counts as truncated when the stream ends.
+    // Without the finish event the token counts are missing; the response counts as truncated when the stream ends.
     if (attempt.finish)
-        settle(attempt, *attempt.finish);
+        deliverResult(attempt, *attempt.finish);
 }
 
-void upstream_client::onEvent(running &attempt, std::string_view payload)
+void upstream_client::onEvent(running_attempt &attempt, std::string_view payload)
 {
     const auto event = json::parse(payload, nullptr, false);
     const auto id = event.is_object() ? event.find("attempt") : event.end();
@@ -163,15 +164,15 @@
         attempt.finish = attempt_done{attempt.token, *prompt, *completion};
 }
 
-void upstream_client::onEnd(running &attempt, const http_response &reply)
+void upstream_client::onEnd(running_attempt &attempt, const http_reply &response)
 {
-    if (!attempt.isSettled)
-        settle(attempt, attempt_failed{attempt.token, failureOf(reply)});
+    if (!attempt.isFinished)
+        deliverResult(attempt, attempt_failed{attempt.token, failureOf(response)});
 }
 
-void upstream_client::settle(running &attempt, core_input input)
+void upstream_client::deliverResult(running_attempt &attempt, core_input input)
 {
-    attempt.isSettled = true;
+    attempt.isFinished = true;
     m_running.erase(static_cast<std::uint64_t>(attempt.token));
     m_deliver(std::move(input));
 }
--- a/src/upstream_exchange.cpp
+++ b/src/upstream_exchange.cpp
@@ -1,4 +1,4 @@
-// One request to a replica over kept connections; see upstream_exchange_p.h.
+// One request to a replica over persistent connections; see upstream_exchange_p.h.
 #include "upstream_exchange_p.h"
 
 #include <charconv>
@@ -11,7 +11,7 @@
 
 constexpr int kLastInformational = 199;
 
-/// Reads "timeout=SECONDS" of a Keep-Alive header. @returns 0 where it isn't there.
+/// @returns the value of "timeout=SECONDS" in a Keep-Alive header, or 0 if it is absent.
 std::chrono::milliseconds keepAliveTimeout(std::string_view value)
 {
     constexpr std::string_view kKey = "timeout=";
@@ -41,7 +41,7 @@
     while (!idle.empty()) {
         auto last = std::move(idle.back());
         idle.pop_back();
-        // Bytes on an idle connection belong to no request.
+        // Bytes that arrived on an idle connection belong to no request; such a connection is not reused.
         if (last.usableUntil > now && last.address == address && last.socket->received().empty())
             return std::move(last.socket);
     }
@@ -121,13 +121,13 @@
     m_socket->write(m_request.bytes);
 }
 
-/// Hands on the head that has been read, unless it is informational or belongs to another request.
-void upstream_exchange::takeHead()
+/// Passes the head that has been read to the listener, unless it is informational or belongs to another request.
+void upstream_exchange::handleHead()
 {
     const auto &head = m_parser.head();
     const auto echoed = head.header(m_pool.requestIdHeader());
-    m_isStray = !echoed.empty() && echoed != m_request.requestId;
-    if (m_isStray || head.status <= kLastInformational)
+    m_isForeignResponse = !echoed.empty() && echoed != m_request.requestId;
+    if (m_isForeignResponse || head.status <= kLastInformational)
         return;
     m_hasHead = true;
     m_listener.onUpstreamHead(head);
@@ -137,7 +137,7 @@
 {
     const auto alive = m_alive;
     const auto onBody = [this, alive](std::string_view bytes) {
-        if (*alive && !m_isStray)
+        if (*alive && !m_isForeignResponse)
             m_listener.onUpstreamBody(bytes);
     };
     while (*alive && m_socket) {
@@ -145,7 +145,8 @@
         if (bytes.empty())
             return;
         const bool wasHead = m_parser.state() == parse_state::head;
-        // The view stays valid while the listener runs, unless it destroys this exchange and with it the socket.
+        // The view stays valid while the listener runs, unless the listener destroys this exchange and with it the
+        // socket.
         const auto used = m_parser.feed(bytes, onBody, wasHead);
         if (!*alive)
             return;
@@ -154,7 +155,7 @@
         if (state == parse_state::malformed || state == parse_state::head_too_large)
             return finish(upstream_end::malformed);
         if (wasHead && state != parse_state::head) {
-            takeHead();
+            handleHead();
             if (!*alive)
                 return;
         }
@@ -162,7 +163,7 @@
             continue;
         if (m_hasHead)
             return finish(upstream_end::complete);
-        m_isStray = false; // an answer of another request, or an informational one
+        m_isForeignResponse = false; // it was the response to another request, or an informational one
         m_parser.reset();
     }
 }
@@ -171,8 +172,8 @@
 {
     if (!m_isConnected)
         return finish(upstream_end::not_connected);
-    const bool isWhole = end == socket_end::closed && m_hasHead && m_parser.finishAtClose();
-    finish(isWhole ? upstream_end::complete : upstream_end::broken);
+    const bool isComplete = end == socket_end::closed && m_hasHead && m_parser.finishAtClose();
+    finish(isComplete ? upstream_end::complete : upstream_end::broken);
 }
 
 void upstream_exchange::finish(upstream_end end)
@@ -180,7 +181,8 @@
     m_connectTimer.stop();
     auto socket = std::move(m_socket);
     const auto &head = m_parser.head();
-    // A request that is still being written is due on the connection; other bytes must not take its place.
+    // A connection is not reusable while its request is still being written, because the next request would follow an
+    // incomplete one, or if bytes were received after the response.
     const bool isReusable = end == upstream_end::complete && head.keepAlive && !m_parser.endsWithConnection()
         && socket->pendingBytes() == 0 && socket->received().empty();
     if (isReusable)
--- a/src/upstream_exchange_p.h
+++ b/src/upstream_exchange_p.h
@@ -1,5 +1,5 @@
-// Sends one request to a replica and reads its answer, over connections that are kept per replica. Answers of other
-// requests that arrive on a kept connection are skipped.
+// Sends one request to a replica and reads the response, over persistent connections that are pooled per replica.
+// Responses to other requests that arrive on a reused connection are skipped.
 #pragma once
 
 #include "gateway_clock_p.h"
@@ -13,10 +13,10 @@
 
 /// How an exchange with a replica ended.
 enum class upstream_end : std::uint8_t {
-    complete, ///< whole answer
-    not_connected, ///< no connection came up: nothing was sent
+    complete, ///< the response was received completely
+    not_connected, ///< no connection was established: nothing was sent
     broken, ///< the connection was lost after the request was written to it
-    malformed, ///< the answer was not HTTP, or its length was ambiguous
+    malformed, ///< the response was not HTTP, or its length was ambiguous
     count
 };
 
@@ -25,26 +25,27 @@
     static constexpr std::array kNames{"complete", "not_connected", "broken", "malformed"};
 };
 
-/// Receives an answer as it arrives.
+/// Receives a response as it arrives.
 class upstream_listener
 {
 public:
     virtual ~upstream_listener() = default;
-    virtual void onUpstreamHead(const message_head &head) = 0; ///< the exchange may be destroyed from here
-    virtual void onUpstreamBody(std::string_view bytes) = 0; ///< the exchange must not be destroyed from here
-    virtual void onUpstreamEnd(upstream_end end) = 0; ///< the exchange may be destroyed from here
+    virtual void onUpstreamHead(const message_head &head) = 0; ///< may destroy the exchange
+    virtual void onUpstreamBody(std::string_view bytes) = 0; ///< must not destroy the exchange
+    virtual void onUpstreamEnd(upstream_end end) = 0; ///< may destroy the exchange
 };
 
 struct upstream_request {
     http_endpoint address;
-    std::string replica; ///< id; connections are kept per replica and address
+    std::string replica; ///< id; connections are pooled per replica and address
     std::string bytes; ///< head and body
-    std::string requestId; ///< an answer that echoes another id is skipped
+    std::string requestId; ///< a response that echoes another id is skipped
 };
 
 class connection_pool;
 
-/// One request to a replica. Destroying it before its end closes the connection, at which the replica stops work.
+/// One request to a replica. Destroying it before its end closes the connection, upon which the replica stops working
+/// on the request.
 class upstream_exchange
 {
 public:
@@ -53,14 +54,14 @@
     upstream_exchange(const upstream_exchange &) = delete;
     upstream_exchange &operator=(const upstream_exchange &) = delete;
 
-    /// Stops or resumes reading, while the caller is slower than the replica.
+    /// Stops or resumes reading, for back-pressure when the caller reads more slowly than the replica writes.
     void setReading(bool isOn);
 
 private:
     void send();
     void onReadable();
     void onSocketEnd(socket_end end);
-    void takeHead();
+    void handleHead();
     void finish(upstream_end end);
 
     connection_pool &m_pool;
@@ -70,28 +71,28 @@
     http_parser m_parser{message_type::response};
     loop_timer m_connectTimer;
     bool m_isConnected = false;
-    bool m_hasHead = false; ///< the head of this request's answer has been handed on
-    bool m_isStray = false; ///< the answer being read belongs to another request
+    bool m_hasHead = false; ///< the head of this request's response has been passed to the listener
+    bool m_isForeignResponse = false; ///< the response being read belongs to another request
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
-/// Connections that wait for their next request.
-class connection_pool
+/// Idle connections to replicas, for reuse by later requests.
+class upstream_pool
 {
 public:
     connection_pool(event_loop &loop, std::string requestIdHeader);
 
-    [[nodiscard]] std::unique_ptr<stream_socket> acquire(const std::string &replica, const http_endpoint &address);
-    /// @param idleLimit how long the replica keeps an idle connection, or 0: unknown.
-    void release(const std::string &replica, const http_endpoint &address, std::unique_ptr<stream_socket> socket,
-                 std::chrono::milliseconds idleLimit);
+    [[nodiscard]] std::unique_ptr<stream_socket> take(const std::string &replica, const http_endpoint &address);
+    /// @param idleLimit time for which the replica keeps an idle connection open, or 0 if unknown.
+    void keep(const std::string &replica, const http_endpoint &address, std::unique_ptr<stream_socket> socket,
+              std::chrono::milliseconds idleLimit);
 
     [[nodiscard]] event_loop &loop() { return m_loop; }
     [[nodiscard]] const std::string &requestIdHeader() const { return m_requestIdHeader; }
 
-    /// Time in which a connection comes up: the largest round trip between failure domains (3 ms) and one lost packet
-    /// (a retransmission after 1 s would be too late for plain calls) lie within it.
-    static constexpr std::chrono::milliseconds kConnectTimeout{350};
+    /// Maximum time for establishing a connection. It covers the largest round trip between failure domains (3 ms) and
+    /// one lost packet; a retransmission after 1 s would be too late for plain calls.
+    static constexpr std::chrono::milliseconds kConnectLimit{350};
 
 private:
     struct idle_socket {
@@ -104,11 +105,13 @@
     void prune();
     void removeEnded(const std::string &replica, const stream_socket *socket);
 
-    /// Kept connections per replica. A host's share of a replica's slots is below this at today's sizes.
-    static constexpr std::size_t kMaxIdlePerReplica = 24;
-    /// Idle time where the replica states none.
+    /// Maximum number of idle connections per replica. A host's share of a replica's slots is below this at present
+    /// sizes.
+    static constexpr std::size_t kMostIdle = 24;
+    /// Idle time if the replica announces none.
     static constexpr std::chrono::milliseconds kDefaultIdleLimit{2000};
-    /// A connection isn't used in the last part of its idle time, so that the request doesn't cross its end.
+    /// A connection is not reused in the last part of its idle time, so that no request is sent while the replica
+    /// closes it.
     static constexpr std::chrono::milliseconds kIdleMargin{700};
     static constexpr std::chrono::seconds kPruneInterval{1};
 
--- a/tests/test_upstream_client.cpp
+++ b/tests/test_upstream_client.cpp
@@ -1,4 +1,4 @@
-// Upstream client: an answer must consist of the events of its own attempt only, and must be whole.
+// Upstream client: a response must consist of the events of its own attempt only, and must be complete.
 #include "loopback_p.h"
 #include "upstream_client_p.h"
 
@@ -27,10 +27,10 @@
     std::vector<attempt_done> done;
     std::vector<attempt_failure> failures;
     upstream_client client{net.loop, net.client, "host-1", [this](const core_input &input) {
-                               take(input);
+                               handleInput(input);
                            }};
 
-    void take(const core_input &input)
+    void handleInput(const core_input &input)
     {
         if (const auto *chunk = std::get_if<attempt_chunk>(&input)) {
             text += chunk->text;
@@ -56,7 +56,7 @@
         return start;
     }
 
-    /// Runs one attempt whose stream is made of these parts; "%" stands for the attempt id.
+    /// Runs one attempt whose stream consists of the parts that `parts` returns for the attempt id.
     void stream(const std::function<std::vector<std::string>(const std::string &)> &parts)
     {
         net.serve = [parts](const http_exchange_ptr &exchange) {
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("a whole stream gives the text and one done with the token counts")
+TEST_CASE("a complete stream yields the text and one attempt_done with the token counts")
 {
     harness test;
     test.stream([](const std::string &id) {
@@ -85,7 +85,7 @@
     CHECK(test.done[0].completionTokens == 2);
 }
 
-TEST_CASE("events cut anywhere by the transport are put together again")
+TEST_CASE("events split at any byte by the transport are reassembled")
 {
     harness test;
     test.stream([](const std::string &id) {
@@ -111,7 +111,7 @@
     CHECK(test.client.foreignEvents() == 4);
 }
 
-TEST_CASE("a foreign finish event does not complete an answer")
+TEST_CASE("a foreign finish event does not complete a response")
 {
     harness test;
     test.stream([](const std::string &id) {
@@ -121,7 +121,7 @@
     CHECK(test.failures == std::vector{attempt_failure::truncated});
 }
 
-TEST_CASE("a stream that ends without its finish event or without the end mark is truncated")
+TEST_CASE("a stream that ends without its finish event or without the end marker is truncated")
 {
     harness first;
     first.stream([](const std::string &id) { return std::vector<std::string>{textEvent(id, "a")}; });
@@ -132,7 +132,7 @@
     CHECK(second.failures == std::vector{attempt_failure::truncated});
 }
 
-TEST_CASE("a finish event without token counts does not complete an answer")
+TEST_CASE("a finish event without token counts does not complete a response")
 {
     harness test;
     test.stream([](const std::string &id) {
@@ -143,7 +143,7 @@
     CHECK(test.failures == std::vector{attempt_failure::truncated});
 }
 
-TEST_CASE("failures of an attempt are told apart")
+TEST_CASE("failures of an attempt are distinguished")
 {
     SUBCASE("refused before running")
     {
@@ -189,7 +189,7 @@
         REQUIRE(test.net.run());
         CHECK(test.failures == std::vector{attempt_failure::connection_lost});
     }
-    SUBCASE("no answer in time")
+    SUBCASE("no response in time")
     {
         harness test;
         std::vector<http_exchange_ptr> kept;
