--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -289,7 +289,7 @@
 
 void caller_api::sendComplete(exchange &open, const finish_request &response)
 {
-    const auto body = encodeAnswer(response, open.text + response.text, true);
+    const auto body = encodeResponse(response, open.text + response.text, true);
     addHeader(open.request, "Content-Type", "application/json");
     addCommonHeaders(open.request, &response);
     evbuffer_add(open.request->buffer_out, body.data(), body.size());
--- a/src/caller_connection_p.h
+++ b/src/caller_connection_p.h
@@ -17,15 +17,15 @@
     instant readAt{}; ///< when the request had been read completely
 };
 
-/// Writer of the response to a request. Either replyWhole() is called once, or startStream() followed by endStream() or
-/// abort(), or abort() alone.
-class caller_reply
+/// Writer of the response to a request. Either sendResponse() is called once, or startStream() followed by endStream()
+/// or abort(), or abort() alone.
+class caller_response
 {
 public:
     virtual ~caller_response() = default;
 
     /// Sends a complete response.
-    virtual void replyWhole(int status, const http_headers &headers, std::string_view body) = 0;
+    virtual void sendResponse(int status, const http_headers &headers, std::string_view body) = 0;
 
     virtual void startStream(int status, const http_headers &headers) = 0;
     virtual void streamBytes(std::string_view bytes) = 0;
@@ -62,10 +62,10 @@
     [[nodiscard]] virtual bool isDraining() const = 0;
 
     /// Starts work on a request. `response` may be used until the work is destroyed, and already before this returns.
-    [[nodiscard]] virtual std::unique_ptr<request_work> serve(caller_request request, caller_reply &response) = 0;
+    [[nodiscard]] virtual std::unique_ptr<request_work> serve(caller_request request, caller_response &response) = 0;
 
     /// Counts a request that was rejected while it was being read.
-    virtual void noteRejected(int status, std::string_view reason) = 0;
+    virtual void recordRejected(int status, std::string_view reason) = 0;
 
     /// The connection has ended and is to be destroyed, outside of this call.
     virtual void onConnectionEnd(caller_connection &connection) = 0;
--- a/src/caller_protocol.cpp
+++ b/src/caller_protocol.cpp
@@ -154,7 +154,7 @@
     return found->status;
 }
 
-std::string encodeAnswer(const finish_request &response, std::string_view text, bool withText)
+std::string encodeResponse(const finish_request &response, std::string_view text, bool withText)
 {
     auto body = responseObject(response);
     if (response.outcome == outcome_kind::complete && withText)
@@ -175,7 +175,7 @@
 
 std::string encodeOutcomeEvent(const finish_request &response)
 {
-    return "event: outcome\ndata: " + encodeAnswer(response, {}, false) + "\n\n";
+    return "event: outcome\ndata: " + encodeResponse(response, {}, false) + "\n\n";
 }
 
 std::string retryAfterOf(const finish_request &response)
--- a/src/caller_protocol_p.h
+++ b/src/caller_protocol_p.h
@@ -35,7 +35,7 @@
 
 /// @returns the JSON object of a final response.
 /// @param text complete text of the response; omitted if `withText` is false because it was streamed.
-[[nodiscard]] std::string encodeAnswer(const finish_request &response, std::string_view text, bool withText);
+[[nodiscard]] std::string encodeResponse(const finish_request &response, std::string_view text, bool withText);
 
 /// @returns a server-sent event with a part of the response text.
 [[nodiscard]] std::string encodeTextEvent(std::string_view text);
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -123,7 +123,7 @@
         return;
     }
     // evhttp offers no hook between connecting and the first request, so the options apply from the second request on.
-    tuneSocket(bufferevent_getfd(evhttp_connection_get_bufferevent(connection)), kUnacknowledgedLimit);
+    setTcpOptions(bufferevent_getfd(evhttp_connection_get_bufferevent(connection)), kTcpUserTimeout);
     idle.push_back({connection, event_loop::now()});
 }
 
@@ -222,7 +222,7 @@
 {
     if (open.isEnded)
         return;
-    http_reply response;
+    http_response response;
     if (!evhttpResponse) {
         response.status = open.lastStatus;
         finish(open, std::move(response));
@@ -235,7 +235,7 @@
         finish(open, std::move(response));
         return;
     }
-    response.end = http_end::answered;
+    response.end = http_end::complete;
     response.body = std::move(open.body);
     response.body += drainBuffer(evhttp_request_get_input_buffer(evhttpResponse));
     response.etag = headerOf(evhttpResponse, "ETag");
@@ -245,20 +245,20 @@
 
 void http_client::onTimeout(call &open)
 {
-    http_reply response;
+    http_response response;
     response.end = http_end::timed_out;
     response.status = open.lastStatus;
     finish(open, std::move(response));
 }
 
-void http_client::finish(call &open, http_reply response)
+void http_client::finish(call &open, http_response response)
 {
     const auto found = m_calls.find(open.id);
     auto owned = std::move(found->second);
     m_calls.erase(found);
     owned->timeout.stop();
     const auto onDone = std::move(owned->handlers.onDone);
-    if (response.end == http_end::answered)
+    if (response.end == http_end::complete)
         releaseConnection(owned->request.endpoint, owned->connection);
     else
         discard(open.connection, std::move(owned));
--- a/src/http_client_p.h
+++ b/src/http_client_p.h
@@ -38,7 +38,7 @@
 
 /// How a call ended.
 enum class http_end : std::uint8_t {
-    answered, ///< status and headers are set; a chunked or sized body was received completely
+    complete, ///< status and headers are set; a chunked or sized body was received completely
     not_connected, ///< no connection was established: nothing was sent
     broken, ///< the connection was lost after the request was handed to it
     timed_out, ///< the overall timeout expired; the request may have been sent
@@ -57,7 +57,7 @@
 enum class http_call_id : std::uint64_t {};
 
 struct http_handlers {
-    std::function<void(http_reply)> onDone; ///< called exactly once, unless the call is cancelled
+    std::function<void(http_response)> onDone; ///< called exactly once, unless the call is cancelled
     std::function<void(int status, std::string_view data)> onData; ///< optional; receives the body as it arrives
 };
 
@@ -100,7 +100,7 @@
     void onResponse(call &open, evhttp_request *evhttpResponse);
     void onBodyPart(call &open, evhttp_request *evhttpResponse);
     void onTimeout(call &open);
-    void finish(call &open, http_reply response);
+    void finish(call &open, http_response response);
 
     event_loop &m_loop;
     std::chrono::microseconds m_idleLimit;
--- a/src/socket_options.cpp
+++ b/src/socket_options.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void tuneSocket(int socket, std::chrono::milliseconds userTimeout)
+void setTcpOptions(int socket, std::chrono::milliseconds userTimeout)
 {
     setOption(socket, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(userTimeout.count()));
--- a/src/socket_options_p.h
+++ b/src/socket_options_p.h
@@ -8,18 +8,18 @@
 
 /// Maximum time for which bytes sent to a replica or the store may stay unacknowledged: about seven times TCP's initial
 /// retransmission timeout (200 ms), so that three consecutive losses don't end the connection.
-inline constexpr std::chrono::milliseconds kUnacknowledgedLimit{1500};
+inline constexpr std::chrono::milliseconds kTcpUserTimeout{1500};
 
 /// The same for callers, which may read slowly.
-inline constexpr std::chrono::milliseconds kCallerUnacknowledgedLimit{8000};
+inline constexpr std::chrono::milliseconds kCallerTcpUserTimeout{8000};
 
 /// Idle time before the first keep-alive probe and between probes; the kernel counts whole seconds.
 inline constexpr std::chrono::seconds kProbeInterval{1};
 
 /// Unacknowledged probes after which the connection fails.
-inline constexpr int kProbes = 2;
+inline constexpr int kMaxProbes = 2;
 
 /// Sets all of these options on a connected or connecting socket.
-void tuneSocket(int socket, std::chrono::milliseconds userTimeout);
+void setTcpOptions(int socket, std::chrono::milliseconds userTimeout);
 
 } // namespace foxtaildyke
--- a/src/stream_socket.cpp
+++ b/src/stream_socket.cpp
@@ -51,7 +51,7 @@
 
 void stream_socket::open(int socket, std::chrono::milliseconds userTimeout)
 {
-    tuneSocket(socket, userTimeout);
+    setTcpOptions(socket, userTimeout);
     m_stream = bufferevent_socket_new(m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     bufferevent_setcb(m_stream, onRead, onWrite, onEvent, this);
     bufferevent_setwatermark(m_stream, EV_READ, 0, kReceiveLimitBytes);
--- a/src/upstream_client.cpp
+++ b/src/upstream_client.cpp
@@ -29,7 +29,7 @@
     return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-attempt_failure failureOf(const http_reply &response)
+attempt_failure failureOf(const http_response &response)
 {
     switch (response.end) {
     case http_end::not_connected:
@@ -99,7 +99,7 @@
     handlers.onData = [this, state](int status, std::string_view data) {
         onData(state, status, data);
     };
-    handlers.onDone = [this, state](const http_reply &response) {
+    handlers.onDone = [this, state](const http_response &response) {
         onEnd(*state, response);
     };
     state->call = m_client.start(std::move(request), std::move(handlers));
@@ -164,7 +164,7 @@
         attempt.finish = attempt_done{attempt.token, *prompt, *completion};
 }
 
-void upstream_client::onEnd(running_attempt &attempt, const http_reply &response)
+void upstream_client::onEnd(running_attempt &attempt, const http_response &response)
 {
     if (!attempt.isFinished)
         deliverResult(attempt, attempt_failed{attempt.token, failureOf(response)});
--- a/src/upstream_client_p.h
+++ b/src/upstream_client_p.h
@@ -32,7 +32,7 @@
     void onData(const std::shared_ptr<running_attempt> &attempt, int status, std::string_view data);
     void onLine(running_attempt &attempt, std::string_view line);
     void onEvent(running_attempt &attempt, std::string_view payload);
-    void onEnd(running_attempt &attempt, const http_reply &response);
+    void onEnd(running_attempt &attempt, const http_response &response);
     void deliverResult(running_attempt &attempt, core_input input);
 
     http_client &m_client;
--- a/src/upstream_exchange_p.h
+++ b/src/upstream_exchange_p.h
@@ -77,22 +77,22 @@
 };
 
 /// Idle connections to replicas, for reuse by later requests.
-class upstream_pool
+class connection_pool
 {
 public:
     connection_pool(event_loop &loop, std::string requestIdHeader);
 
-    [[nodiscard]] std::unique_ptr<stream_socket> take(const std::string &replica, const http_endpoint &address);
+    [[nodiscard]] std::unique_ptr<stream_socket> acquire(const std::string &replica, const http_endpoint &address);
     /// @param idleLimit time for which the replica keeps an idle connection open, or 0 if unknown.
-    void keep(const std::string &replica, const http_endpoint &address, std::unique_ptr<stream_socket> socket,
-              std::chrono::milliseconds idleLimit);
+    void release(const std::string &replica, const http_endpoint &address, std::unique_ptr<stream_socket> socket,
+                 std::chrono::milliseconds idleLimit);
 
     [[nodiscard]] event_loop &loop() { return m_loop; }
     [[nodiscard]] const std::string &requestIdHeader() const { return m_requestIdHeader; }
 
     /// Maximum time for establishing a connection. It covers the largest round trip between failure domains (3 ms) and
     /// one lost packet; a retransmission after 1 s would be too late for plain calls.
-    static constexpr std::chrono::milliseconds kConnectLimit{350};
+    static constexpr std::chrono::milliseconds kConnectTimeout{350};
 
 private:
     struct idle_socket {
@@ -107,7 +107,7 @@
 
     /// Maximum number of idle connections per replica. A host's share of a replica's slots is below this at present
     /// sizes.
-    static constexpr std::size_t kMostIdle = 24;
+    static constexpr std::size_t kMaxIdlePerReplica = 24;
     /// Idle time if the replica announces none.
     static constexpr std::chrono::milliseconds kDefaultIdleLimit{2000};
     /// A connection is not reused in the last part of its idle time, so that no request is sent while the replica
--- a/tests/test_caller_api.cpp
+++ b/tests/test_caller_api.cpp
@@ -23,7 +23,7 @@
                        handleInput(input);
                    }};
     http_endpoint endpoint{"127.0.0.1", 0};
-    std::vector<http_reply> responses;
+    std::vector<http_response> responses;
 
     harness()
     {
@@ -57,7 +57,7 @@
     http_call_id start(http_request request)
     {
         return net.client.start(std::move(request),
-                                {[this](http_reply response) {
+                                {[this](http_response response) {
                                      responses.push_back(std::move(response));
                                      net.stopSoon();
                                  },
@@ -115,7 +115,7 @@
                             [&test, token = request.request] { test.api.finish(harness::complete(token)); });
     };
     const auto response = test.call(test.request(kStreamBody));
-    CHECK(response.end == http_end::answered);
+    CHECK(response.end == http_end::complete);
     CHECK(response.status == 200);
     CHECK(response.body.find("data: {\"text\":\"first \"}\n\ndata: {\"text\":\"rest\"}\n\nevent: outcome\n") == 0);
     CHECK(response.body.find(R"("outcome":"complete")") != std::string::npos);
@@ -217,7 +217,7 @@
                             [&test, token = request.request] { test.api.finish(harness::complete(token)); });
     };
     const auto response = test.call(test.request(kStreamBody));
-    CHECK(response.end == http_end::answered);
+    CHECK(response.end == http_end::complete);
     CHECK(response.body.find(R"("outcome":"complete")") != std::string::npos);
     CHECK(test.api.isIdle());
     CHECK(test.call(health).status == 503);
--- a/tests/test_caller_protocol.cpp
+++ b/tests/test_caller_protocol.cpp
@@ -103,7 +103,7 @@
     response.outcome = outcome_kind::failed_after_run;
     response.reason = reason_code::answer_truncated;
     response.model = "m";
-    const auto failed = nlohmann::json::parse(encodeAnswer(response, "part", true));
+    const auto failed = nlohmann::json::parse(encodeResponse(response, "part", true));
     CHECK(failed["outcome"] == "failed_after_run");
     CHECK(failed["reason"] == "answer_truncated");
     CHECK(!failed.contains("text"));
@@ -111,7 +111,7 @@
     response.outcome = outcome_kind::complete;
     response.reason = reason_code::none;
     response.costMicroUnits = 12;
-    const auto complete = nlohmann::json::parse(encodeAnswer(response, "whole", true));
+    const auto complete = nlohmann::json::parse(encodeResponse(response, "whole", true));
     CHECK(complete["text"] == "whole");
     CHECK(complete["cost_micro_units"] == 12);
     CHECK(!complete.contains("reason"));
--- a/tests/test_http_client.cpp
+++ b/tests/test_http_client.cpp
@@ -15,7 +15,7 @@
     request.path = "/";
     std::size_t idleAfterResponse = 0;
     client.start(request,
-                 {[&](const http_reply &) {
+                 {[&](const http_response &) {
                       idleAfterResponse = client.idleConnections();
                       net.loop.after(std::chrono::milliseconds(200), [&] { net.loop.stop(); });
                   },
