--- a/src/socket_options_p.h
+++ b/src/socket_options_p.h
@@ -16,7 +16,7 @@
 /// Idle time before the first keep-alive probe and between probes; the kernel counts whole seconds.
 inline constexpr std::chrono::seconds kProbeInterval{1};
 
-/// Unacknowledged probes after which the connection fails.
+/// Unacknowledged probes after which the connection fails. An idle connection to a silent peer thus fails after 3 s.
 inline constexpr int kMaxProbes = 2;
 
 /// Sets all of these options on a connected or connecting socket.
