--- a/src/decision_log.cpp
+++ b/src/decision_log.cpp
@@ -1,4 +1,4 @@
-// Structured log of decisions; see decision_log_p.h.
+// Structured decision log; see decision_log_p.h.
 #include "decision_log_p.h"
 
 #include "gateway_clock_p.h"
@@ -14,7 +14,8 @@
 namespace
 {
 
-constexpr int kQueuedLines = 512; ///< lines that wait for a slow reader; more are discarded and summed up by log4cxx
+constexpr int kMaxQueuedLines =
+    512; ///< lines buffered for a slow sink; log4cxx discards further ones and logs a summary
 
 } // namespace
 
@@ -27,7 +28,7 @@
 {
     const auto logger = log4cxx::Logger::getLogger(m_loggerName);
     const auto queue = std::make_shared<log4cxx::AsyncAppender>();
-    queue->setBufferSize(kQueuedLines);
+    queue->setBufferSize(kMaxQueuedLines);
     queue->setBlocking(false);
     queue->addAppender(makeLineAppender(path));
     logger->removeAllAppenders();
@@ -44,7 +45,7 @@
     logger->removeAllAppenders();
 }
 
-bool decision_log::takeToken(instant now, log_subject subject)
+bool decision_log::tryConsumeToken(instant now, log_subject subject)
 {
     const double elapsed = std::chrono::duration<double>(now - m_refilledAt).count();
     m_refilledAt = now;
@@ -58,13 +59,16 @@
 
 void decision_log::write(std::string_view event, const nlohmann::ordered_json &fields, log_subject subject)
 {
-    if (!takeToken(suspendAwareNow(), subject)) {
+    if (!tryConsumeToken(suspendAwareNow(), subject)) {
         ++m_dropped;
         ++m_droppedTotal;
         return;
     }
-    nlohmann::ordered_json line{
-        {"time_us", unixMicroseconds()}, {"process", "gateway"}, {"host", m_host}, {"seq", m_next++}, {"event", event}};
+    nlohmann::ordered_json line{{"time_us", unixMicroseconds()},
+                                {"process", "gateway"},
+                                {"host", m_host},
+                                {"seq", m_nextSequence++},
+                                {"event", event}};
     if (m_dropped > 0)
         line["dropped_before"] = std::exchange(m_dropped, 0);
     line.update(fields);
--- a/src/decision_log_p.h
+++ b/src/decision_log_p.h
@@ -1,5 +1,5 @@
-// Structured log of the gateway's decisions: one JSON object a line through log4cxx, bounded in rate and never
-// blocking.
+// Structured log of the gateway's decisions: one JSON object per line, written through log4cxx. Rate-limited and
+// non-blocking.
 #pragma once
 
 #include "foxtaildyke/foxtaildyke.h"
@@ -9,10 +9,10 @@
 namespace foxtaildyke
 {
 
-/// What a line is about.
+/// Subject of a log line; the rate limit reserves capacity by subject.
 enum class log_subject : std::uint8_t {
-    request, ///< one of many requests
-    process, ///< what the process believes or does; must not be lost among lines on requests
+    request, ///< a single request
+    process, ///< state or action of the process; must not be crowded out by request lines
     count
 };
 
@@ -20,8 +20,8 @@
 {
 public:
     /// @param path file to append to, or "-" for standard output.
-    /// @param linesPerSecond lines beyond this are dropped; the next line that is written counts them. Lines on
-    /// requests leave a part of it to the others.
+    /// @param linesPerSecond rate limit. Lines beyond it are dropped, and the next written line reports their number.
+    /// Request lines may use only part of it; the rest is reserved for process lines.
     decision_log(std::string host, const std::string &path, std::uint32_t linesPerSecond);
     ~decision_log();
     decision_log(const decision_log &) = delete;
@@ -34,9 +34,9 @@
     [[nodiscard]] std::uint64_t dropped() const { return m_droppedTotal; }
 
 private:
-    [[nodiscard]] bool takeToken(instant now, log_subject subject);
+    [[nodiscard]] bool tryConsumeToken(instant now, log_subject subject);
 
-    /// Part of a second's lines that lines on requests leave.
+    /// Share of the rate limit that is reserved for process lines.
     static constexpr double kProcessShare = 0.25;
 
     std::string m_host;
@@ -44,8 +44,8 @@
     double m_linesPerSecond;
     double m_tokens;
     instant m_refilledAt{};
-    std::uint64_t m_next = 1;
-    std::uint64_t m_dropped = 0; ///< since the last line written
+    std::uint64_t m_nextSequence = 1;
+    std::uint64_t m_dropped = 0; ///< lines dropped since the last written line
     std::uint64_t m_droppedTotal = 0;
 };
 
--- a/src/event_log.cpp
+++ b/src/event_log.cpp
@@ -53,8 +53,8 @@
 void event_log::write(const record_event &event)
 {
     static const auto s_info = log4cxx::Level::getInfo();
-    const std::lock_guard guard(m_order);
-    const auto line = formatEvent(event, m_process, m_host, m_next++, unixMicroseconds());
+    const std::lock_guard guard(m_mutex);
+    const auto line = formatEvent(event, m_process, m_host, m_nextSequence++, unixMicroseconds());
     log4cxx::Logger::getLogger(m_loggerName)->log(s_info, line, log4cxx::spi::LocationInfo::getLocationUnavailable());
 }
 
--- a/src/log_output.cpp
+++ b/src/log_output.cpp
@@ -1,4 +1,4 @@
-// Output of logs; see log_output_p.h.
+// Log output; see log_output_p.h.
 #include "log_output_p.h"
 
 #include <chrono>
--- a/src/log_output_p.h
+++ b/src/log_output_p.h
@@ -1,4 +1,4 @@
-// Where the logs of a process go, and the time that stands on their lines.
+// Output of the logs of a process, and the wall-clock time of their lines.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 {
 
 /// @param path file to append to, or "-" for standard output.
-/// @returns an appender that writes each message as a line of its own.
+/// @returns an appender that writes one line per message.
 [[nodiscard]] log4cxx::AppenderPtr makeLineAppender(const std::string &path);
 
 /// @returns wall-clock time in unix microseconds.
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -1,4 +1,4 @@
-// Metrics through prometheus-cpp; see metrics_p.h.
+// Metrics based on prometheus-cpp; see metrics_p.h.
 #include "metrics_p.h"
 
 #include <prometheus/counter.h>
@@ -22,7 +22,7 @@
 using prometheus::Histogram;
 using prometheus::Registry;
 
-/// Bounds in seconds, from a refusal (a few ms) to a batch answer (minutes).
+/// Bucket bounds in seconds, from a refusal (a few ms) to a batch response (minutes).
 const Histogram::BucketBoundaries kDurationBounds{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
                                                   0.5,   1.2,    2.5,   5,    10,    30,   120, 600};
 
@@ -55,17 +55,17 @@
     Family<Counter> &attempts = counter(registry, "foxtaildyke_attempts_total", "Ended attempts by version and end");
     Family<Counter> &tokens = counter(registry, "foxtaildyke_billed_tokens_total", "Billed tokens by type");
     Counter &cost = counter(registry, "foxtaildyke_billed_cost_microunits_total", "Billed cost in micro-units").Add({});
-    Counter &foreign =
+    Counter &foreignEvents =
         counter(registry, "foxtaildyke_foreign_events_total", "Upstream events dropped for their attempt id").Add({});
-    Family<Counter> &platform =
+    Family<Counter> &platformCalls =
         counter(registry, "foxtaildyke_platform_calls_total", "Calls to the platform by name and end");
     Histogram &duration =
         histogram(registry, "foxtaildyke_request_duration_seconds", "Time from arrival to the final answer");
     Histogram &firstToken =
         histogram(registry, "foxtaildyke_first_token_seconds", "Time from arrival to the first part of a stream");
-    Gauge &open = gauge(registry, "foxtaildyke_open_requests", "Requests without a final answer");
+    Gauge &openRequests = gauge(registry, "foxtaildyke_open_requests", "Requests without a final answer");
     Gauge &generation = gauge(registry, "foxtaildyke_config_generation", "Generation of the configuration in force");
-    Gauge &lease =
+    Gauge &leaseRemaining =
         gauge(registry, "foxtaildyke_freshness_lease_remaining_seconds", "Time until the freshness lease ends");
 };
 
@@ -103,17 +103,17 @@
 
 void metrics::noteForeignEvent()
 {
-    m_impl->foreign.Increment();
+    m_impl->foreignEvents.Increment();
 }
 
 void metrics::notePlatformCall(std::string_view name, std::string_view end)
 {
-    m_impl->platform.Add({{"call", std::string(name)}, {"end", std::string(end)}}).Increment();
+    m_impl->platformCalls.Add({{"call", std::string(name)}, {"end", std::string(end)}}).Increment();
 }
 
 void metrics::setOpenRequests(std::size_t count)
 {
-    m_impl->open.Set(static_cast<double>(count));
+    m_impl->openRequests.Set(static_cast<double>(count));
 }
 
 void metrics::setGeneration(generation_number generation)
@@ -123,7 +123,7 @@
 
 void metrics::setLeaseRemaining(std::chrono::microseconds remaining)
 {
-    m_impl->lease.Set(seconds(remaining));
+    m_impl->leaseRemaining.Set(seconds(remaining));
 }
 
 std::string metrics::text() const
--- a/src/metrics_p.h
+++ b/src/metrics_p.h
@@ -1,4 +1,4 @@
-// Metrics of a process in the text format of Prometheus.
+// Metrics of a process in the Prometheus text format.
 #pragma once
 
 #include "foxtaildyke/foxtaildyke.h"
@@ -8,8 +8,8 @@
 namespace foxtaildyke
 {
 
-/// Counters, gauges and histograms. Names end in their unit.
-/// @remarks Used on one task.
+/// Counters, gauges and histograms. Metric names end in their unit.
+/// @remarks Not thread-safe; all calls come from one event loop.
 class metrics
 {
 public:
@@ -17,29 +17,29 @@
     ~metrics();
 
     /// Counts a finished request.
-    /// @param duration from arrival to the final answer.
+    /// @param duration time from arrival to the final response.
     void recordRequest(outcome_kind outcome, reason_code reason, std::chrono::microseconds duration);
 
-    /// Takes the time from arrival to the first part of a streamed answer.
+    /// Records the time from arrival to the first chunk of a streamed response.
     void noteFirstToken(std::chrono::microseconds duration);
 
-    /// Counts an ended attempt. @param failure nothing: whole answer.
+    /// Counts a finished attempt. @param failure empty if the response was complete.
     void noteAttempt(std::string_view version, std::optional<attempt_failure> failure);
 
-    /// Counts tokens and cost of a billed answer.
+    /// Counts tokens and cost of a billed response.
     void noteBill(std::uint32_t promptTokens, std::uint32_t completionTokens, std::uint64_t costMicroUnits);
 
-    /// Counts an event of another attempt that an upstream sent.
+    /// Counts an upstream event that carried the id of another attempt and was dropped.
     void noteForeignEvent();
 
-    /// Counts a call to the platform. @param name of the call, for example "read". @param end "ok" or an error name.
+    /// Counts a call to the platform. @param name name of the call, e.g. "read". @param end "ok" or an error name.
     void notePlatformCall(std::string_view name, std::string_view end);
 
     void setOpenRequests(std::size_t count);
     void setGeneration(generation_number generation);
     void setLeaseRemaining(std::chrono::microseconds remaining);
 
-    /// @returns all metrics in the text format.
+    /// @returns all metrics in the Prometheus text format.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/src/router_task.cpp
+++ b/src/router_task.cpp
@@ -1,4 +1,4 @@
-// The router's task; see router_task_p.h.
+// Main task of the router; see router_task_p.h.
 #include "router_task_p.h"
 
 #include "http_status_p.h"
@@ -11,16 +11,16 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kPlatformPeriod{1000}; ///< host list and load reports
+constexpr std::chrono::milliseconds kPlatformPollPeriod{1000}; ///< poll interval for host list and load reports
 constexpr std::chrono::milliseconds kDrainCheckPeriod{20};
-/// A planned stop takes at least this long, so that requests on their way when it began still get their refusal.
-constexpr std::chrono::milliseconds kLeastDrain{200};
+/// Minimum duration of a drain, so that requests that were in flight when it began still receive their refusal.
+constexpr std::chrono::milliseconds kMinDrainTime{200};
 
 std::uint64_t randomSeed()
 {
     std::random_device device;
-    constexpr unsigned kHalf = 32;
-    return static_cast<std::uint64_t>(device()) << kHalf | device();
+    constexpr unsigned kDrawBits = 32;
+    return static_cast<std::uint64_t>(device()) << kDrawBits | device();
 }
 
 } // namespace
@@ -95,7 +95,7 @@
     while (!m_inputs.empty()) {
         const auto next = std::move(m_inputs.front());
         m_inputs.pop_front();
-        handleOne(next);
+        handleInput(next);
     }
     m_isHandling = false;
     if (const auto due = m_core.nextTimer())
@@ -104,22 +104,22 @@
         m_coreTimer.stop();
 }
 
-void router_task::handleOne(const core_input &input)
+void router_task::handleInput(const core_input &input)
 {
-    observe(input);
+    recordInput(input);
     m_core.handle(input, event_loop::now());
     for (const auto &action : m_core.takeActions())
         std::visit([this](const auto &step) { perform(step); }, action);
 }
 
-void router_task::observe(const core_input &input)
+void router_task::recordInput(const core_input &input)
 {
     if (const auto *lease = std::get_if<lease_changed>(&input))
         m_leaseEnd = lease->expiresAt;
     else if (const auto *done = std::get_if<attempt_done>(&input))
-        noteAttemptEnd(done->attempt, std::nullopt);
+        recordAttemptEnd(done->attempt, std::nullopt);
     else if (const auto *failed = std::get_if<attempt_failed>(&input))
-        noteAttemptEnd(failed->attempt, failed->failure);
+        recordAttemptEnd(failed->attempt, failed->failure);
     else if (const auto *changed = std::get_if<config_changed>(&input))
         onConfig(changed->config);
     else if (const auto *request = std::get_if<caller_request>(&input))
@@ -129,17 +129,17 @@
 void router_task::onConfig(const fleet_ptr &config)
 {
     m_metrics.setGeneration(config->generation);
-    tellPorts([&](port_events &port) { port.onConfig(config); });
+    notifyPorts([&](port_events &port) { port.onConfig(config); });
 }
 
-void router_task::tellPorts(const std::function<void(port_events &)> &tell)
+void router_task::notifyPorts(const std::function<void(port_events &)> &notify)
 {
-    tell(*m_ports.config);
-    tell(*m_ports.ledger);
-    tell(*m_ports.sharing);
+    notify(*m_ports.config);
+    notify(*m_ports.ledger);
+    notify(*m_ports.sharing);
 }
 
-void router_task::noteAttemptEnd(attempt_token attempt, std::optional<attempt_failure> failure)
+void router_task::recordAttemptEnd(attempt_token attempt, std::optional<attempt_failure> failure)
 {
     const auto found = m_attemptVersions.find(static_cast<std::uint64_t>(attempt));
     if (found == m_attemptVersions.end())
@@ -225,9 +225,9 @@
 
 void router_task::pollPlatform()
 {
-    m_platformTimer.start(kPlatformPeriod);
+    m_platformTimer.start(kPlatformPollPeriod);
     m_platform.hosts(m_hostListVersion, [this](const result<std::optional<host_list>> &list) {
-        // The last list stays in force while the platform does not answer.
+        // While the platform is unreachable, the last known host list remains in use.
         if (list.has_value() && list.value())
             onHostList(*list.value());
     });
@@ -246,7 +246,7 @@
             upstreams.push_back(host.info);
         else if (host.role == "entry")
             entryHosts.push_back(host);
-    tellPorts([&](port_events &port) { port.onEntryHosts(entryHosts); });
+    notifyPorts([&](port_events &port) { port.onEntryHosts(entryHosts); });
     upstreams = replicaSubset(m_settings.host, std::move(upstreams));
     m_loads.setUpstreams(upstreams);
     m_log.note("host_list_changed", "version " + std::to_string(*m_hostListVersion));
@@ -277,14 +277,14 @@
     m_drainStart = event_loop::now();
     m_log.note("drain_started");
     m_callers.drain();
-    tellPorts([](port_events &port) { port.onDrain(); });
+    notifyPorts([](port_events &port) { port.onDrain(); });
     deliver(drain_request{});
     stopWhenDrained();
 }
 
 void router_task::stopWhenDrained()
 {
-    const bool isEarly = event_loop::now() < m_drainStart + kLeastDrain;
+    const bool isEarly = event_loop::now() < m_drainStart + kMinDrainTime;
     if (isEarly || m_core.openRequests() > 0 || !m_callers.isIdle() || !m_ports.ledger->isIdle()) {
         m_drainTimer.start(kDrainCheckPeriod);
         return;
--- a/src/router_task_p.h
+++ b/src/router_task_p.h
@@ -1,5 +1,6 @@
-// The router's task: owns the event loop, the decision core, the clients and the callers' API, feeds the core with
-// inputs and carries out its actions. Ledger, configuration and sharing are ports that the process plugs in.
+// Main task of the router: owns the event loop, the decision core, the outgoing clients and the caller API. It passes
+// inputs to the core and executes the actions that the core returns. Ledger, configuration and sharing are ports,
+// injected by the process.
 #pragma once
 
 #include "caller_api_p.h"
@@ -30,22 +31,22 @@
     router_task(const router_task &) = delete;
     router_task &operator=(const router_task &) = delete;
 
-    /// Plugs in the ports; before start().
+    /// Sets the ports. Must be called before start().
     void setPorts(router_ports ports);
 
-    /// Answers GET of a path on the administration address with a text.
+    /// Registers a text page that is served for GET requests to a path on the admin address.
     void addAdminPage(const std::string &path, std::function<std::string()> page);
 
-    /// Binds the addresses and starts the periodic work.
+    /// Binds the listening sockets and starts the periodic work.
     [[nodiscard]] result<void> start();
 
-    /// Runs until a planned stop has finished.
+    /// Runs the event loop until drain() has completed.
     void run();
 
-    /// Begins a planned stop: new requests are refused, open ones finish, then run() returns. Later calls do nothing.
+    /// Starts a graceful shutdown: new requests are refused, open ones finish, then run() returns. Idempotent.
     void drain();
 
-    /// Feeds the core. Inputs that arrive while one is being handled are queued.
+    /// Passes an input to the core. Inputs that arrive while another one is being handled are queued.
     void deliver(core_input input);
 
     [[nodiscard]] core_sink sink();
@@ -57,10 +58,10 @@
     [[nodiscard]] std::uint16_t callerPort() const { return m_callerPort; }
 
 private:
-    void handleOne(const core_input &input);
-    void observe(const core_input &input);
+    void handleInput(const core_input &input);
+    void recordInput(const core_input &input);
     void onConfig(const fleet_ptr &config);
-    void noteAttemptEnd(attempt_token attempt, std::optional<attempt_failure> failure);
+    void recordAttemptEnd(attempt_token attempt, std::optional<attempt_failure> failure);
 
     void perform(const start_attempt &action);
     void perform(const cancel_attempt &action);
@@ -76,7 +77,7 @@
     void perform(const share_quarantine &action);
     void perform(const record_event &action);
 
-    void tellPorts(const std::function<void(port_events &)> &tell);
+    void notifyPorts(const std::function<void(port_events &)> &notify);
     void pollPlatform();
     void onHostList(const host_list &list);
     void serveAdmin(const http_exchange_ptr &exchange);
@@ -106,7 +107,7 @@
     instant m_drainStart{};
     std::uint16_t m_callerPort = 0;
     std::optional<std::uint64_t> m_hostListVersion;
-    std::unordered_map<std::uint64_t, std::string> m_attemptVersions; ///< version names by attempt token, while running
+    std::unordered_map<std::uint64_t, std::string> m_attemptVersions; ///< by token of a running attempt
     std::uint64_t m_foreignEventsSeen = 0;
     instant m_leaseEnd{};
 };
--- a/src/timeline.cpp
+++ b/src/timeline.cpp
@@ -1,4 +1,4 @@
-// Time line of a deployment; see timeline_p.h.
+// Timeline of a deployment; see timeline_p.h.
 #include "timeline_p.h"
 
 #include <ctime>
@@ -32,8 +32,8 @@
 
 bool isKnownKey(std::string_view key)
 {
-    constexpr std::array<std::string_view, 3> kNumbers{"time_us", "seq", "generation"};
-    return std::ranges::find(kNumbers, key) != kNumbers.end()
+    constexpr std::array<std::string_view, 3> kNumberKeys{"time_us", "seq", "generation"};
+    return std::ranges::find(kNumberKeys, key) != kNumberKeys.end()
         || std::ranges::find(kTextFields, key, [](const text_field &field) { return std::string_view(field.key); })
         != kTextFields.end();
 }
@@ -52,24 +52,24 @@
     return event;
 }
 
-/// Events of one run of one process, in the order of their sequence numbers.
+/// Events of one run of a process, ordered by sequence number.
 struct event_stream {
-    std::vector<std::size_t> events; ///< indexes
+    std::vector<std::size_t> events; ///< indices into the list of all events
     std::size_t next = 0;
 
     [[nodiscard]] bool isDone() const { return next == events.size(); }
     [[nodiscard]] std::size_t head() const { return events[next]; }
 };
 
-/// Merges streams; an event waits until the events that caused it are placed.
-class merger
+/// Merges event streams; an event is not placed before the events that caused it.
+class stream_merger
 {
 public:
-    explicit merger(std::vector<timeline_event> events)
+    explicit stream_merger(std::vector<timeline_event> events)
         : m_events(std::move(events))
         , m_causes(m_events.size())
         , m_placed(m_events.size(), false)
-        , m_startOf(m_events.size())
+        , m_minTimeUs(m_events.size())
     {
         splitStreams();
         linkCauses();
@@ -80,31 +80,31 @@
         std::vector<timeline_event> ordered;
         ordered.reserve(m_events.size());
         for (std::size_t i = 0; i < m_streams.size(); ++i)
-            offer(i);
+            enqueueHead(i);
         while (ordered.size() < m_events.size())
-            ordered.push_back(place(takeNext()));
+            ordered.push_back(emitHead(popNextStream()));
         return ordered;
     }
 
 private:
-    /// Position in the order among events that may come next.
-    using rank = std::tuple<std::int64_t, std::string, std::uint64_t, std::size_t>;
+    /// Sort key of stream heads that may be placed next: time, host, sequence number, stream index.
+    using order_key = std::tuple<std::int64_t, std::string, std::uint64_t, std::size_t>;
 
-    /// A process that starts again begins at sequence number 1: that opens a new stream, after the old one.
+    /// A restarted process begins at sequence number 1 again; this starts a new stream that follows the old one.
     void splitStreams()
     {
-        std::map<std::pair<std::string, std::string>, std::size_t> last;
+        std::map<std::pair<std::string, std::string>, std::size_t> latestStream;
         for (std::size_t i = 0; i < m_events.size(); ++i) {
             const auto &event = m_events[i];
-            const auto found = last.find({event.host, event.process});
-            const bool isRestart = event.sequence == 1 && found != last.end();
-            if (found == last.end() || isRestart) {
+            const auto found = latestStream.find({event.host, event.process});
+            const bool isRestart = event.sequence == 1 && found != latestStream.end();
+            if (found == latestStream.end() || isRestart) {
                 if (isRestart)
                     m_causes[i].push_back(m_streams[found->second].events.back());
-                last[{event.host, event.process}] = m_streams.size();
+                latestStream[{event.host, event.process}] = m_streams.size();
                 m_streams.emplace_back();
             }
-            m_streams[last.at({event.host, event.process})].events.push_back(i);
+            m_streams[latestStream.at({event.host, event.process})].events.push_back(i);
         }
         for (auto &stream : m_streams)
             std::ranges::stable_sort(stream.events, {}, [this](std::size_t i) { return m_events[i].sequence; });
@@ -128,12 +128,13 @@
                 m_causes[i].push_back(cause->second);
             const auto dispatch = dispatched.find(event.host + '/' + event.requestId);
             if (event.type == kFinished && dispatch != dispatched.end())
-                addOtherStreams(i, dispatch->second);
+                addCausesOfOtherStreams(i, dispatch->second);
         }
     }
 
-    /// Within one stream the sequence numbers decide: a request id may be used again after its first answer.
-    void addOtherStreams(std::size_t effect, const std::vector<std::size_t> &causes)
+    /// Links causes from other processes only. Within a stream, sequence numbers define the order: a request id may be
+    /// reused after its first response.
+    void addCausesOfOtherStreams(std::size_t effect, const std::vector<std::size_t> &causes)
     {
         for (const auto cause : causes) {
             if (m_events[cause].process != m_events[effect].process)
@@ -141,89 +142,94 @@
         }
     }
 
-    /// Puts the head of a stream among the events that may come next, or lets it wait for a cause.
-    void offer(std::size_t number)
+    /// Adds the head of a stream to the ready heads, or blocks the stream until a missing cause has been placed.
+    void enqueueHead(std::size_t streamIndex)
     {
-        const auto &stream = m_streams[number];
+        const auto &stream = m_streams[streamIndex];
         if (stream.isDone())
             return;
         const auto index = stream.head();
-        const auto isOpen = [this](std::size_t cause) {
+        const auto isUnplaced = [this](std::size_t cause) {
             return !m_placed[cause];
         };
-        const auto open = std::ranges::find_if(m_causes[index], isOpen);
-        if (open != m_causes[index].end()) {
-            m_waiting[*open].push_back(number);
-            m_blocked.insert(number);
+        const auto unplacedCause = std::ranges::find_if(m_causes[index], isUnplaced);
+        if (unplacedCause != m_causes[index].end()) {
+            m_streamsByCause[*unplacedCause].push_back(streamIndex);
+            m_blockedStreams.insert(streamIndex);
             return;
         }
-        m_blocked.erase(number);
+        m_blockedStreams.erase(streamIndex);
         const auto &event = m_events[index];
-        m_ready.emplace(std::max(event.timeUs, m_startOf[index]), event.host, event.sequence, number);
+        m_readyHeads.emplace(std::max(event.timeUs, m_minTimeUs[index]), event.host, event.sequence, streamIndex);
     }
 
-    /// @returns the stream whose head comes next. Where all wait for each other the earliest goes first.
-    std::size_t takeNext()
+    /// @returns the stream whose head is placed next. If the causes form a cycle and every stream is blocked, the one
+    /// with the earliest head continues.
+    std::size_t popNextStream()
     {
-        if (!m_ready.empty()) {
-            const auto number = std::get<3>(*m_ready.begin());
-            m_ready.erase(m_ready.begin());
-            return number;
+        if (!m_readyHeads.empty()) {
+            const auto streamIndex = std::get<3>(*m_readyHeads.begin());
+            m_readyHeads.erase(m_readyHeads.begin());
+            return streamIndex;
         }
-        const auto timeOf = [this](std::size_t number) {
-            return m_events[m_streams[number].head()].timeUs;
+        const auto timeOf = [this](std::size_t streamIndex) {
+            return m_events[m_streams[streamIndex].head()].timeUs;
         };
-        const auto earliest = *std::ranges::min_element(m_blocked, {}, timeOf);
-        m_blocked.erase(earliest);
+        const auto earliest = *std::ranges::min_element(m_blockedStreams, {}, timeOf);
+        m_blockedStreams.erase(earliest);
         return earliest;
     }
 
-    timeline_event &place(std::size_t number)
+    timeline_event &emitHead(std::size_t streamIndex)
     {
-        auto &stream = m_streams[number];
+        auto &stream = m_streams[streamIndex];
         const auto index = stream.head();
         auto &event = m_events[index];
-        event.orderUs = std::max(event.timeUs, m_startOf[index]);
+        event.orderUs = std::max(event.timeUs, m_minTimeUs[index]);
         m_placed[index] = true;
         ++stream.next;
         if (!stream.isDone())
-            delay(stream.head(), event.orderUs);
-        release(index, event.orderUs);
-        if (!m_blocked.contains(number))
-            offer(number);
+            raiseMinTime(stream.head(), event.orderUs);
+        wakeWaitingStreams(index, event.orderUs);
+        if (!m_blockedStreams.contains(streamIndex))
+            enqueueHead(streamIndex);
         return event;
     }
 
-    void delay(std::size_t index, std::int64_t until) { m_startOf[index] = std::max(m_startOf[index], until); }
+    void raiseMinTime(std::size_t index, std::int64_t until)
+    {
+        m_minTimeUs[index] = std::max(m_minTimeUs[index], until);
+    }
 
-    /// Offers the streams that waited for an event.
-    void release(std::size_t index, std::int64_t time)
+    /// Enqueues the heads of the streams that waited for an event.
+    void wakeWaitingStreams(std::size_t index, std::int64_t time)
     {
-        const auto waiting = m_waiting.find(index);
-        if (waiting == m_waiting.end())
+        const auto waiting = m_streamsByCause.find(index);
+        if (waiting == m_streamsByCause.end())
             return;
-        const auto numbers = std::move(waiting->second);
-        m_waiting.erase(waiting);
-        for (const auto number : numbers) {
-            // A stream that was let through in spite of a missing cause has moved on.
-            if (!m_blocked.contains(number))
+        const auto waitingStreams = std::move(waiting->second);
+        m_streamsByCause.erase(waiting);
+        for (const auto streamIndex : waitingStreams) {
+            // The stream has already continued without this cause, to break a cycle.
+            if (!m_blockedStreams.contains(streamIndex))
                 continue;
-            delay(m_streams[number].head(), time);
-            offer(number);
+            raiseMinTime(m_streams[streamIndex].head(), time);
+            enqueueHead(streamIndex);
         }
     }
 
     std::vector<timeline_event> m_events;
-    std::vector<std::vector<std::size_t>> m_causes; ///< by event: events of other streams that come before it
+    std::vector<std::vector<std::size_t>> m_causes; ///< by event: events of other streams that precede it
     std::vector<bool> m_placed;
-    std::vector<std::int64_t> m_startOf; ///< by event: earliest time by the events placed before it
+    std::vector<std::int64_t> m_minTimeUs; ///< by event: lower bound of its time, from the events placed before it
     std::vector<event_stream> m_streams;
-    std::set<rank> m_ready; ///< heads without open causes
-    std::set<std::size_t> m_blocked; ///< streams whose head waits for a cause
-    std::unordered_map<std::size_t, std::vector<std::size_t>> m_waiting; ///< streams by the event they wait for
+    std::set<order_key> m_readyHeads; ///< heads whose causes have all been placed
+    std::set<std::size_t> m_blockedStreams; ///< streams whose head waits for a cause
+    std::unordered_map<std::size_t, std::vector<std::size_t>>
+        m_streamsByCause; ///< blocked streams by the event that they wait for
 };
 
-std::string timeText(std::int64_t unixUs)
+std::string formatTime(std::int64_t unixUs)
 {
     constexpr std::int64_t kUsPerSecond = 1'000'000;
     const std::time_t seconds = unixUs / kUsPerSecond;
@@ -255,16 +261,16 @@
 
 std::vector<timeline_event> orderEvents(std::vector<timeline_event> events)
 {
-    return merger(std::move(events)).run();
+    return stream_merger(std::move(events)).run();
 }
 
 bool matches(const timeline_event &event, const timeline_filter &filter)
 {
-    const auto agrees = [](const std::string &wanted, const std::string &value) {
+    const auto matchesField = [](const std::string &wanted, const std::string &value) {
         return wanted.empty() || wanted == value;
     };
-    return agrees(filter.requestId, event.requestId) && agrees(filter.sessionId, event.sessionId)
-        && agrees(filter.version, event.version) && agrees(filter.host, event.host)
+    return matchesField(filter.requestId, event.requestId) && matchesField(filter.sessionId, event.sessionId)
+        && matchesField(filter.version, event.version) && matchesField(filter.host, event.host)
         && (filter.generation == 0 || filter.generation == event.generation);
 }
 
@@ -281,13 +287,13 @@
 
 std::string formatEventText(const timeline_event &event)
 {
-    auto text = timeText(event.orderUs) + ' ' + event.host + ' ' + event.process + '#' + std::to_string(event.sequence)
-        + ' ' + event.type;
+    auto text = formatTime(event.orderUs) + ' ' + event.host + ' ' + event.process + '#'
+        + std::to_string(event.sequence) + ' ' + event.type;
     for (const auto &field : kTextFields) {
-        const bool isShown = field.member == &timeline_event::host || field.member == &timeline_event::process
+        const bool isInPrefix = field.member == &timeline_event::host || field.member == &timeline_event::process
             || field.member == &timeline_event::type;
         const auto &value = event.*field.member;
-        if (!isShown && !value.empty())
+        if (!isInPrefix && !value.empty())
             text.append(" ").append(field.key).append("=").append(json(value).dump());
     }
     if (event.generation > 0)
@@ -295,7 +301,7 @@
     for (const auto &[key, value] : event.details)
         text.append(" ").append(key).append("=").append(value);
     if (event.orderUs != event.timeUs)
-        text += " clock=" + timeText(event.timeUs);
+        text += " clock=" + formatTime(event.timeUs);
     return text;
 }
 
--- a/src/timeline_p.h
+++ b/src/timeline_p.h
@@ -1,5 +1,5 @@
-// Merges event logs of many processes into one time line: by wall clock, except where the order of one process's lines
-// or a cause and its effect say otherwise. Pure; reads text, returns events.
+// Merges the event logs of several processes into one timeline. Events are ordered by wall clock unless the line order
+// of a process or a causal dependency requires otherwise. Pure functions on text and events, without I/O.
 #pragma once
 
 #include "foxtaildyke/foxtaildyke.h"
@@ -10,10 +10,10 @@
 namespace foxtaildyke
 {
 
-/// One line of an event log; the fields are those that event_log writes.
+/// One line of an event log, with the fields written by event_log.
 struct timeline_event {
-    std::int64_t timeUs = 0; ///< wall clock of its host, unix microseconds
-    std::int64_t orderUs = 0; ///< timeUs, raised where causal order needs it
+    std::int64_t timeUs = 0; ///< wall clock of the host, unix microseconds
+    std::int64_t orderUs = 0; ///< timeUs, increased where causal order requires it
     std::string process;
     std::string host;
     std::uint64_t sequence = 0;
@@ -25,10 +25,10 @@
     std::string upstream;
     generation_number generation = 0;
     std::string reason;
-    std::vector<std::pair<std::string, std::string>> details; ///< other fields of the line, values as JSON
+    std::vector<std::pair<std::string, std::string>> details; ///< remaining fields of the line, values as JSON
 };
 
-/// What an event must match; empty fields match all.
+/// Criteria for events; empty fields match every event.
 struct timeline_filter {
     std::string requestId;
     std::string sessionId;
@@ -37,23 +37,23 @@
     generation_number generation = 0;
 };
 
-/// Logs of one deployment, as they are read.
+/// Parsed logs of one deployment.
 struct timeline_input {
-    std::vector<timeline_event> events; ///< of each process in the order of its lines
-    std::size_t damagedLines = 0; ///< for example the last line of a killed process
+    std::vector<timeline_event> events; ///< events of each process in the order of its lines
+    std::size_t damagedLines = 0; ///< lines that could not be parsed, e.g. the truncated last line of a killed process
 };
 
-/// Adds the lines of one log. What stands before the JSON object of a line, as a time of the one who collected it, is
-/// left out.
+/// Parses the lines of one log and adds them to the input. Text before the JSON object of a line, such as a timestamp
+/// added by a log collector, is ignored.
 void readLog(std::string_view text, timeline_input &input);
 
-/// Orders events by time, then host and sequence number; events of one process keep their order, and an effect never
-/// comes before its cause: an event of a generation after its publishing, an end of a request after its dispatch.
+/// Orders events by time, then host and sequence number. Events of one process keep their order, and effects follow
+/// their causes: an event of a generation follows its publication, the end of a request follows its dispatch.
 [[nodiscard]] std::vector<timeline_event> orderEvents(std::vector<timeline_event> events);
 
 [[nodiscard]] bool matches(const timeline_event &event, const timeline_filter &filter);
 
-/// Number of refused or failed requests by "outcome: reason".
+/// @returns the number of refused or failed requests by "outcome: reason".
 [[nodiscard]] std::map<std::string, std::size_t> countRefusals(const std::vector<timeline_event> &events);
 
 [[nodiscard]] std::string formatEventText(const timeline_event &event);
