--- a/tests/golden_p.h
+++ b/tests/golden_p.h
@@ -1,4 +1,4 @@
-// Comparison of a transcript with its golden file, shared by the golden tests.
+// Helpers shared by the golden tests, such as the comparison of a transcript with its golden file.
 #pragma once
 
 #include "core_simulation_p.h"
@@ -6,14 +6,14 @@
 namespace foxtaildyke::test
 {
 
-/// Compares the transcript with tests/golden/NAME.txt, or writes the file where FOXTAILDYKE_GOLDEN_UPDATE is set.
+/// Compares the transcript with tests/golden/NAME.txt, or writes that file if FOXTAILDYKE_GOLDEN_UPDATE is set.
 void checkGolden(const std::string &name, const core_simulation &simulation);
 
-/// Checks that a request got exactly one final answer, with this outcome and reason.
+/// Checks that a request received exactly one final response, with the given outcome and reason.
 void checkAnswer(core_simulation &simulation, request_token request, outcome_kind outcome,
                  reason_code reason = reason_code::none);
 
-/// A script that fails before any text.
+/// @returns a script of an attempt that fails before it sends any text.
 [[nodiscard]] inline attempt_script failing(attempt_failure failure)
 {
     return {.chunks = {}, .failure = failure};
--- a/tests/test_decision_log.cpp
+++ b/tests/test_decision_log.cpp
@@ -1,4 +1,5 @@
-// Log of the gateway's decisions under load: bounded, counted, and never without the lines that explain the others.
+// Decision log of the gateway under load: the rate limit holds, dropped lines are counted, and a flood of request lines
+// does not crowd out process lines, which are needed to explain them.
 #include "decision_log_p.h"
 
 #include <cstdio>
@@ -12,8 +13,8 @@
 namespace
 {
 
-/// @returns the lines that a log wrote.
-std::vector<nlohmann::json> linesOf(const std::function<void(decision_log &)> &write, std::uint32_t linesPerSecond)
+/// @returns the parsed lines that a log wrote to its file.
+std::vector<nlohmann::json> writtenLines(const std::function<void(decision_log &)> &write, std::uint32_t linesPerSecond)
 {
     std::string path = "/tmp/foxtaildyke-decisions-XXXXXX";
     const int descriptor = mkstemp(path.data());
@@ -33,11 +34,11 @@
 
 } // namespace
 
-TEST_CASE("decision log: many lines on requests leave room for what the process believes, and are counted")
+TEST_CASE("decision log: request lines leave part of the rate limit to process lines, and dropped lines are counted")
 {
     constexpr std::uint32_t kLimit = 40;
     constexpr int kRequests = 500;
-    const auto lines = linesOf(
+    const auto lines = writtenLines(
         [](decision_log &log) {
             for (int i = 0; i < kRequests; ++i)
                 log.write("request_end", {{"request_id", std::to_string(i)}}, log_subject::request);
--- a/tests/test_event_log.cpp
+++ b/tests/test_event_log.cpp
@@ -1,4 +1,5 @@
-// Event log and metrics: the time line is merged from these lines, so each must be one JSON object with fixed keys.
+// Event log and metrics. The timeline program merges event log lines, so each line must be one JSON object with fixed
+// keys.
 #include "event_log_p.h"
 #include "metrics_p.h"
 
@@ -10,7 +11,7 @@
 
 using namespace foxtaildyke;
 
-TEST_CASE("an event is one line of JSON in a fixed order, also with broken text")
+TEST_CASE("an event is one line of JSON with keys in a fixed order, also for text with invalid UTF-8")
 {
     record_event event;
     event.type = "dispatched";
@@ -29,7 +30,7 @@
     CHECK(!parsed.contains("upstream"));
 }
 
-TEST_CASE("events reach the file with sequence numbers in the order of the lines")
+TEST_CASE("events are written to the file with sequence numbers in line order")
 {
     std::string path = "/tmp/foxtaildyke-events-XXXXXX";
     const int descriptor = mkstemp(path.data());
@@ -52,7 +53,7 @@
     CHECK(lines[1]["reason"] == "why");
 }
 
-TEST_CASE("metrics are counted by outcome and written in the text format with units")
+TEST_CASE("metrics are counted by outcome and written in the Prometheus text format with units")
 {
     metrics stats;
     stats.recordRequest(outcome_kind::complete, reason_code::none, std::chrono::milliseconds(20));
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -1,6 +1,7 @@
-// Golden sessions, one for each request kind of both deployments: whole sessions through the decision core in virtual
-// time, compared with tests/golden/NAME.txt. They guard against any unintended change of what callers, upstreams, the
-// ledger or the time line see. FOXTAILDYKE_GOLDEN_UPDATE=1 writes the files instead; see scripts/golden.
+// Golden tests, one for each request kind of both deployments. Each runs a complete session through the decision core
+// in virtual time and compares its transcript with tests/golden/NAME.txt. They detect unintended changes to what
+// callers, upstreams, the ledger or the timeline see. FOXTAILDYKE_GOLDEN_UPDATE=1 writes the files instead; see
+// scripts/golden.
 #include "golden_p.h"
 
 #include <cstdlib>
@@ -49,7 +50,7 @@
     checkGolden("appeal-draft", simulation);
 }
 
-TEST_CASE("golden session: docket-status runs once and a resend gets the stored answer")
+TEST_CASE("golden session: docket-status runs once and a resend returns the stored response")
 {
     core_simulation simulation(linShou(), linShouUpstreams());
     const auto first = simulation.submit(10ms, "docket-status");
@@ -64,7 +65,7 @@
     checkGolden("docket-status", simulation);
 }
 
-TEST_CASE("golden session: receipt-check is not repeated after a lost connection")
+TEST_CASE("golden session: receipt-check is not retried after a lost connection")
 {
     core_simulation simulation(linShou(), linShouUpstreams());
     simulation.upstream = [](const start_attempt &) {
@@ -79,7 +80,7 @@
     checkGolden("receipt-check", simulation);
 }
 
-TEST_CASE("golden session: release-summary keeps its session's versions through the token")
+TEST_CASE("golden session: release-summary keeps the versions of its session by means of the session token")
 {
     core_simulation simulation(linShou(), linShouUpstreams());
     const auto first =
@@ -101,9 +102,9 @@
     checkGolden("release-summary", simulation);
 }
 
-TEST_CASE("golden session: page-tag is refused at once where it can't start in time")
+TEST_CASE("golden session: page-tag is refused when it can't start before its deadline")
 {
-    // A late tag pushes a story past its news cycle.
+    // A late tag makes a story miss its news cycle.
     auto upstreams = linShouUpstreams();
     for (auto &upstream : upstreams)
         upstream.slots = 1;
@@ -125,7 +126,7 @@
     checkGolden("page-tag", simulation);
 }
 
-TEST_CASE("golden session: dossier-summary waits for an upstream and arrives late but whole")
+TEST_CASE("golden session: dossier-summary waits for an upstream and completes late")
 {
     auto upstreams = sollecitiPadaniUpstreams();
     upstreams[0].slots = 1;
@@ -142,7 +143,7 @@
     checkGolden("dossier-summary", simulation);
 }
 
-TEST_CASE("golden session: reminder-draft goes to another upstream only where nothing was sent")
+TEST_CASE("golden session: reminder-draft is retried on another upstream only if nothing was sent")
 {
     core_simulation simulation(sollecitiPadani(), sollecitiPadaniUpstreams());
     simulation.upstream = [](const start_attempt &attempt) -> attempt_script {
@@ -153,14 +154,14 @@
         return {.chunks = {"Gentile socio"}};
     };
     const auto draft = simulation.submit(10ms, "reminder-draft");
-    const auto cut = simulation.submit(500ms, "reminder-draft");
+    const auto interrupted = simulation.submit(500ms, "reminder-draft");
     simulation.run(60s);
     checkAnswer(simulation, draft, outcome_kind::complete);
-    checkAnswer(simulation, cut, outcome_kind::failed_after_run, reason_code::answer_truncated);
+    checkAnswer(simulation, interrupted, outcome_kind::failed_after_run, reason_code::answer_truncated);
     checkGolden("reminder-draft", simulation);
 }
 
-TEST_CASE("golden session: tone-check goes to the strongest model while the rating service is down")
+TEST_CASE("golden session: tone-check uses the strongest model while the rating service is unavailable")
 {
     core_simulation simulation(sollecitiPadani(), sollecitiPadaniUpstreams());
     bool isDown = true;
@@ -178,7 +179,7 @@
     checkGolden("tone-check", simulation);
 }
 
-TEST_CASE("golden session: ledger-lookup streams at once and is given up at its deadline")
+TEST_CASE("golden session: ledger-lookup streams immediately and fails at its deadline")
 {
     core_simulation simulation(sollecitiPadani(), sollecitiPadaniUpstreams());
     simulation.upstream = [](const start_attempt &attempt) -> attempt_script {
@@ -186,29 +187,30 @@
             return {.chunks = {"saldo ", "12,50"}};
         return {.chunks = {"saldo "}, .silent = true};
     };
-    const auto whole = simulation.submit(10ms, "ledger-lookup", [](caller_request &request) { request.stream = true; });
+    const auto completed =
+        simulation.submit(10ms, "ledger-lookup", [](caller_request &request) { request.stream = true; });
     const auto hanging =
         simulation.submit(500ms, "ledger-lookup", [](caller_request &request) { request.stream = true; });
     simulation.run(10s);
-    checkAnswer(simulation, whole, outcome_kind::complete);
+    checkAnswer(simulation, completed, outcome_kind::complete);
     checkAnswer(simulation, hanging, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
     checkGolden("ledger-lookup", simulation);
 }
 
-TEST_CASE("golden session: payment-promise runs on to its bill when the caller is gone")
+TEST_CASE("golden session: payment-promise completes and is billed after the caller has disconnected")
 {
     core_simulation simulation(sollecitiPadani(), sollecitiPadaniUpstreams());
-    const auto lost = simulation.submit(10ms, "payment-promise");
-    simulation.at(20ms, caller_gone{lost});
-    const auto twin = simulation.submit(30ms, "payment-promise",
-                                        [](caller_request &request) { request.requestId = "1790000000-r1"; });
+    const auto abandoned = simulation.submit(10ms, "payment-promise");
+    simulation.at(20ms, caller_gone{abandoned});
+    const auto duplicate = simulation.submit(30ms, "payment-promise",
+                                             [](caller_request &request) { request.requestId = "1790000000-r1"; });
     const auto resend = simulation.submit(500ms, "payment-promise",
                                           [](caller_request &request) { request.requestId = "1790000000-r1"; });
     simulation.call(1000ms, "the store is down", [&] { simulation.ledger.down = true; });
     const auto refused = simulation.submit(1100ms, "payment-promise");
     simulation.run(10s);
-    checkAnswer(simulation, lost, outcome_kind::complete);
-    checkAnswer(simulation, twin, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
+    checkAnswer(simulation, abandoned, outcome_kind::complete);
+    checkAnswer(simulation, duplicate, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
     checkAnswer(simulation, resend, outcome_kind::complete);
     checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::store_unavailable);
     CHECK(simulation.ledger.billsAccepted == 1);
--- a/tests/test_golden_ledger.cpp
+++ b/tests/test_golden_ledger.cpp
@@ -1,4 +1,4 @@
-// Golden sessions of claims, pins and bills that are lost, late or never used. See test_golden.cpp.
+// Golden tests for claims, pins and bills that are lost, late or unused. See test_golden.cpp.
 #include "golden_p.h"
 
 #include <doctest/doctest.h>
@@ -15,15 +15,16 @@
     request.requestId = "1790000000-r1";
 }
 
-bool isReplyTo(const core_input &input, ledger_step step)
+bool isResponseTo(const core_input &input, ledger_step step)
 {
-    const auto *reply = std::get_if<ledger_response>(&input);
-    return reply && reply->step == step;
+    const auto *response = std::get_if<ledger_response>(&input);
+    return response && response->step == step;
 }
 
 } // namespace
 
-TEST_CASE("golden session: a claim whose attempt was never sent may run when it is sent again")
+TEST_CASE("golden session: a request whose claim was written but whose attempt was never sent may run when the caller "
+          "resends it")
 {
     core_simulation simulation(sollecitiPadani(), sollecitiPadaniUpstreams());
     bool isDown = true;
@@ -33,7 +34,7 @@
     const auto refused = simulation.submit(10ms, "payment-promise");
     simulation.call(900ms, "the upstreams are back", [&] { isDown = false; });
     const auto resend = simulation.submit(1000ms, "payment-promise", resendFirst);
-    const auto again = simulation.submit(1500ms, "payment-promise", resendFirst);
+    const auto secondResend = simulation.submit(1500ms, "payment-promise", resendFirst);
     simulation.call(1600ms, "another host claims", [&] {
         simulation.ledger.entries[{"cremona-recupero", "1790000000-other"}].claimed = true;
     });
@@ -42,13 +43,13 @@
     simulation.run(10s);
     checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::no_upstream);
     checkAnswer(simulation, resend, outcome_kind::complete);
-    checkAnswer(simulation, again, outcome_kind::complete);
+    checkAnswer(simulation, secondResend, outcome_kind::complete);
     checkAnswer(simulation, other, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
     CHECK(simulation.ledger.billsAccepted == 1);
     checkGolden("unsent-claim", simulation);
 }
 
-TEST_CASE("golden session: a non-idempotent attempt runs on past its caller's deadline")
+TEST_CASE("golden session: a non-idempotent attempt continues past its caller's deadline")
 {
     core_simulation simulation(sollecitiPadani(), sollecitiPadaniUpstreams());
     simulation.upstream = [](const start_attempt &) {
@@ -65,12 +66,12 @@
     checkGolden("late-bill", simulation);
 }
 
-TEST_CASE("golden session: lost replies of the ledger end in an answer that is true")
+TEST_CASE("golden session: lost ledger responses never lead to a wrong outcome")
 {
     core_simulation simulation(sollecitiPadani(), sollecitiPadaniUpstreams());
     std::optional<ledger_step> lost = ledger_step::claim;
     simulation.copies = [&](const core_input &input) {
-        return lost && isReplyTo(input, *lost) ? 0 : 1;
+        return lost && isResponseTo(input, *lost) ? 0 : 1;
     };
     const auto claim = simulation.submit(10ms, "payment-promise");
     simulation.call(4s, "replies to bills are lost", [&] { lost = ledger_step::bill; });
--- a/tests/test_golden_operation.cpp
+++ b/tests/test_golden_operation.cpp
@@ -1,5 +1,5 @@
-// Golden sessions of operation: roll-out, halt, withdrawal, escalation, faults of upstreams, limits and planned stop.
-// See test_golden.cpp.
+// Golden tests for operation: roll-out, halt, withdrawal, escalation, upstream faults, limits and planned stop. See
+// test_golden.cpp.
 #include "golden_p.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Adds a version of brush with a grant, and loads it on all drafting upstreams.
+/// Adds a second version of the brush model and grants it to all client accounts.
 void addBrush2(fleet &config, version_state state)
 {
     const version_handle handle{static_cast<std::uint16_t>(config.versions.size())};
@@ -27,6 +27,7 @@
         account.grants.push_back(handle);
 }
 
+/// @returns upstreams of which those of the drafting service have brush-2 loaded.
 std::vector<upstream_info> upstreamsWithBrush2()
 {
     auto upstreams = linShouUpstreams();
@@ -37,7 +38,7 @@
     return upstreams;
 }
 
-/// Only brush, so that the choice of a model does not hide the choice of a version.
+/// Restricts all cascades to their first model, so that model selection does not mask version selection.
 fleet onlyBrush()
 {
     auto config = linShou();
@@ -55,19 +56,20 @@
 
 } // namespace
 
-TEST_CASE("golden session: a roll-out gets its share of new sessions and running sessions keep their version")
+TEST_CASE("golden session: a roll-out receives its share of new sessions, and existing sessions keep their version")
 {
     core_simulation simulation(onlyBrush(), upstreamsWithBrush2());
-    const auto inSession = [&](milliseconds time, const std::string &session) {
+    const auto submitInSession = [&](milliseconds time, const std::string &session) {
         return simulation.submit(time, "page-tag", [&](caller_request &request) { request.sessionId = session; });
     };
-    const auto before = inSession(10ms, "a");
+    const auto before = submitInSession(10ms, "a");
     simulation.configure(200ms, [](fleet &config) { addBrush2(config, version_state::rolling_out); });
-    std::vector<request_token> requests{inSession(300ms, "a"), inSession(500ms, "b"), inSession(700ms, "c"),
-                                        inSession(900ms, "d"), inSession(1100ms, "c")};
+    std::vector<request_token> requests{submitInSession(300ms, "a"), submitInSession(500ms, "b"),
+                                        submitInSession(700ms, "c"), submitInSession(900ms, "d"),
+                                        submitInSession(1100ms, "c")};
     simulation.configure(1300ms, [](fleet &config) { setState(config, "brush-2", version_state::active); });
-    requests.push_back(inSession(1400ms, "a"));
-    requests.push_back(inSession(1600ms, "e"));
+    requests.push_back(submitInSession(1400ms, "a"));
+    requests.push_back(submitInSession(1600ms, "e"));
     simulation.run(5s);
     CHECK(simulation.responses(before).front().version == "brush-1");
     for (const auto request : requests)
@@ -77,7 +79,7 @@
     checkGolden("roll-out", simulation);
 }
 
-TEST_CASE("golden session: a bad version is halted, and its running session goes on")
+TEST_CASE("golden session: a bad version is halted, and its existing sessions continue")
 {
     auto config = onlyBrush();
     addBrush2(config, version_state::active);
@@ -86,13 +88,13 @@
         return std::optional(version == "brush-2" ? 200U : 950U);
     };
     std::vector<request_token> requests;
-    const auto inSession = [&](milliseconds time, const std::string &session) {
+    const auto submitInSession = [&](milliseconds time, const std::string &session) {
         requests.push_back(
             simulation.submit(time, "page-tag", [&](caller_request &request) { request.sessionId = session; }));
     };
     for (int i = 0; i < 12; ++i)
-        inSession(milliseconds{10 + 200 * i}, "session-" + std::to_string(i));
-    inSession(3000ms, "session-0");
+        submitInSession(milliseconds{10 + 200 * i}, "session-" + std::to_string(i));
+    submitInSession(3000ms, "session-0");
     simulation.run(6s);
     for (const auto request : requests)
         checkAnswer(simulation, request, outcome_kind::complete);
@@ -110,14 +112,14 @@
     simulation.upstream = [](const start_attempt &) {
         return attempt_script{.chunks = {"tag"}, .first = 100ms};
     };
-    const auto inSession = [&](milliseconds time) {
+    const auto submitInSession = [&](milliseconds time) {
         return simulation.submit(time, "page-tag", [&](caller_request &request) { request.sessionId = "s"; });
     };
-    const auto before = inSession(10ms);
-    const auto during = inSession(350ms);
+    const auto before = submitInSession(10ms);
+    const auto during = submitInSession(350ms);
     const auto alone = simulation.submit(360ms, "page-tag");
     simulation.configure(400ms, [](fleet &next) { setState(next, "brush-2", version_state::withdrawn); });
-    const auto after = inSession(500ms);
+    const auto after = submitInSession(500ms);
     const auto fresh = simulation.submit(600ms, "page-tag");
     simulation.run(6s);
     checkAnswer(simulation, before, outcome_kind::complete);
@@ -130,7 +132,7 @@
     checkGolden("withdrawal-in-session", simulation);
 }
 
-TEST_CASE("golden session: an answer below the target escalates, and the best one is kept where that fails")
+TEST_CASE("golden session: a response below the quality target escalates, and is returned if the escalation fails")
 {
     core_simulation simulation(linShou(), linShouUpstreams());
     simulation.rating = [](std::string_view version) {
@@ -153,7 +155,7 @@
     checkGolden("escalation", simulation);
 }
 
-TEST_CASE("golden session: late and crossed answers reach no caller")
+TEST_CASE("golden session: late and misdirected responses reach no caller")
 {
     core_simulation simulation(sollecitiPadani(), sollecitiPadaniUpstreams());
     simulation.upstream = [](const start_attempt &attempt) -> attempt_script {
@@ -174,7 +176,7 @@
     checkGolden("late-and-crossed-answers", simulation);
 }
 
-TEST_CASE("golden session: a request that crashes its upstreams is quarantined after two")
+TEST_CASE("golden session: a request that crashes its upstreams is quarantined after two crashes")
 {
     auto upstreams = linShouUpstreams();
     upstreams.push_back(upstreams[0]);
@@ -189,18 +191,18 @@
         request.prompt = "poison";
     };
     const auto first = simulation.submit(10ms, "page-tag", poison);
-    const auto again = simulation.submit(500ms, "page-tag", poison);
+    const auto repeated = simulation.submit(500ms, "page-tag", poison);
     const auto healthy = simulation.submit(600ms, "page-tag");
     const auto later = simulation.submit(700s, "page-tag", poison);
     simulation.run(720s);
     checkAnswer(simulation, first, outcome_kind::failed_after_run, reason_code::quarantined);
-    checkAnswer(simulation, again, outcome_kind::not_run, reason_code::quarantined);
+    checkAnswer(simulation, repeated, outcome_kind::not_run, reason_code::quarantined);
     checkAnswer(simulation, healthy, outcome_kind::complete);
     checkAnswer(simulation, later, outcome_kind::failed_after_run, reason_code::upstream_failed);
     checkGolden("quarantine", simulation);
 }
 
-TEST_CASE("golden session: an account that used up its quota is refused with a time to come back")
+TEST_CASE("golden session: an account that exceeds its quota is refused with a retry delay")
 {
     auto config = sollecitiPadani();
     config.accounts[0].burst = 2;
--- a/tests/test_timeline.cpp
+++ b/tests/test_timeline.cpp
@@ -1,5 +1,5 @@
-// Time line: clocks of hosts differ and step, and a process may die in the middle of a line; the order shown must not
-// put an effect before its cause or lose events.
+// Timeline: host clocks differ and step, and a process may be killed in the middle of a line. The merged order must
+// never place an effect before its cause, and no event may be lost.
 #include "timeline_p.h"
 
 #include <doctest/doctest.h>
@@ -10,13 +10,13 @@
 {
 
 std::string line(std::int64_t time, const std::string &host, int sequence, const std::string &type,
-                 const std::string &more = "")
+                 const std::string &extraFields = "")
 {
     return R"({"time_us":)" + std::to_string(time) + R"(,"process":"router","host":")" + host + R"(","seq":)"
-        + std::to_string(sequence) + R"(,"event":")" + type + '"' + more + "}\n";
+        + std::to_string(sequence) + R"(,"event":")" + type + '"' + extraFields + "}\n";
 }
 
-std::vector<timeline_event> ordered(const std::string &text)
+std::vector<timeline_event> parseAndOrder(const std::string &text)
 {
     timeline_input input;
     readLog(text, input);
@@ -35,14 +35,15 @@
 
 TEST_CASE("events of several hosts are ordered by time, equal times by host and sequence")
 {
-    CHECK(typesOf(ordered(line(30, "b", 1, "b1") + line(40, "b", 2, "b2") + line(10, "a", 1, "a1")
-                          + line(30, "a", 2, "a2") + line(30, "a", 3, "a3")))
+    CHECK(typesOf(parseAndOrder(line(30, "b", 1, "b1") + line(40, "b", 2, "b2") + line(10, "a", 1, "a1")
+                                + line(30, "a", 2, "a2") + line(30, "a", 3, "a3")))
           == "a1 a2 a3 b1 b2");
 }
 
-TEST_CASE("a clock that steps back doesn't put an answer before its dispatch")
+TEST_CASE("a clock that steps back doesn't place the end of a request before its dispatch")
 {
-    const auto events = ordered(line(100, "a", 1, "dispatched") + line(40, "a", 2, "finished") + line(90, "b", 1, "b"));
+    const auto events =
+        parseAndOrder(line(100, "a", 1, "dispatched") + line(40, "a", 2, "finished") + line(90, "b", 1, "b"));
     CHECK(typesOf(events) == "b dispatched finished");
     CHECK(events.back().orderUs == 100);
     CHECK(events.back().timeUs == 40);
@@ -51,28 +52,28 @@
 TEST_CASE("no host shows a generation before it was published")
 {
     const std::string generation = R"(,"generation":7)";
-    const auto events = ordered(line(10, "a", 1, "config_adopted", generation) + line(12, "a", 2, "dispatched")
-                                + line(50, "c", 1, "change_published", generation) + line(20, "b", 1, "other"));
+    const auto events = parseAndOrder(line(10, "a", 1, "config_adopted", generation) + line(12, "a", 2, "dispatched")
+                                      + line(50, "c", 1, "change_published", generation) + line(20, "b", 1, "other"));
     CHECK(typesOf(events) == "other change_published config_adopted dispatched");
     CHECK(events.back().orderUs == 50);
 }
 
-TEST_CASE("causes that contradict each other lose no event")
+TEST_CASE("contradictory causal links lose no event")
 {
-    const auto events = ordered(
+    const auto events = parseAndOrder(
         line(10, "a", 1, "x", R"(,"generation":2)") + line(20, "a", 2, "change_published", R"(,"generation":1)")
         + line(10, "b", 1, "y", R"(,"generation":1)") + line(20, "b", 2, "change_published", R"(,"generation":2)"));
     CHECK(events.size() == 4);
 }
 
-TEST_CASE("a restarted process comes after its first run although its numbers start again")
+TEST_CASE("events of a restarted process follow its first run although its sequence numbers restart")
 {
-    CHECK(typesOf(ordered(line(50, "a", 1, "r1") + line(60, "a", 2, "r2") + line(40, "a", 1, "s1")
-                          + line(70, "a", 2, "s2")))
+    CHECK(typesOf(parseAndOrder(line(50, "a", 1, "r1") + line(60, "a", 2, "r2") + line(40, "a", 1, "s1")
+                                + line(70, "a", 2, "s2")))
           == "r1 r2 s1 s2");
 }
 
-TEST_CASE("damaged lines are counted and the rest is read")
+TEST_CASE("malformed lines are counted and the rest is parsed")
 {
     timeline_input input;
     readLog(line(1, "a", 1, "x") + "\n{\"time_us\":2,\"pro", input);
@@ -84,10 +85,10 @@
 TEST_CASE("filters select by each field and refusals are counted by reason")
 {
     const auto events =
-        ordered(line(1, "a", 1, "refused", R"(,"reason":"not_run: rate_limited","request_id":"r1")")
-                + line(2, "a", 2, "finished", R"(,"reason":"not_run: rate_limited","session_id":"s")")
-                + line(3, "a", 3, "finished", R"(,"reason":"complete: none","version":"v1","generation":4)")
-                + line(4, "b", 1, "finished", R"(,"reason":"failed_after_run: upstream_failed")"));
+        parseAndOrder(line(1, "a", 1, "refused", R"(,"reason":"not_run: rate_limited","request_id":"r1")")
+                      + line(2, "a", 2, "finished", R"(,"reason":"not_run: rate_limited","session_id":"s")")
+                      + line(3, "a", 3, "finished", R"(,"reason":"complete: none","version":"v1","generation":4)")
+                      + line(4, "b", 1, "finished", R"(,"reason":"failed_after_run: upstream_failed")"));
     CHECK(
         countRefusals(events)
         == std::map<std::string, std::size_t>{{"failed_after_run: upstream_failed", 1}, {"not_run: rate_limited", 2}});
@@ -102,7 +103,7 @@
     CHECK(count({.generation = 4}) == 1);
 }
 
-TEST_CASE("text and JSON show all fields and the clock where the order was corrected")
+TEST_CASE("text and JSON contain all fields, and the original clock where the order was corrected")
 {
     timeline_event event;
     event.timeUs = 1'700'000'000'000'001;
@@ -122,7 +123,7 @@
     CHECK(input.events[0].reason == event.reason);
 }
 
-TEST_CASE("a line of the gateway's log keeps all its fields, also behind a prefix")
+TEST_CASE("a line of the gateway's log keeps all its fields, also after a prefix")
 {
     timeline_input input;
     readLog(R"(   2.0153 edge-1 {"time_us":5,"process":"gateway","host":"edge-1","seq":7,"event":"request_end",)"
--- a/tests/test_transcript.cpp
+++ b/tests/test_transcript.cpp
@@ -1,4 +1,4 @@
-// Text form of the core's inputs and actions in golden transcripts.
+// Formats inputs and actions of the decision core for golden transcripts.
 #include "core_simulation_p.h"
 
 namespace foxtaildyke::test
@@ -13,7 +13,7 @@
     return std::to_string(static_cast<std::uint64_t>(value));
 }
 
-std::string inQuotes(std::string_view text)
+std::string quotedText(std::string_view text)
 {
     return '"' + std::string(text) + '"';
 }
@@ -26,7 +26,7 @@
     return text;
 }
 
-/// Appends " key=value" where the value is not empty.
+/// @returns " key=value", or an empty string if the value is empty.
 std::string field(std::string_view key, std::string_view value)
 {
     return value.empty() ? std::string{} : " " + std::string(key) + "=" + std::string(value);
@@ -37,17 +37,17 @@
     return value == 0 ? std::string{} : field(key, std::to_string(value));
 }
 
-struct input_text {
+struct input_formatter {
     std::string operator()(const caller_request &input) const
     {
         return "request " + number(input.request) + " " + input.kind + field("id", input.requestId)
             + field("session", input.sessionId) + (input.sessionToken.empty() ? "" : " with token")
-            + (input.stream ? " stream" : "") + " " + inQuotes(input.prompt);
+            + (input.stream ? " stream" : "") + " " + quotedText(input.prompt);
     }
     std::string operator()(const caller_gone &input) const { return "caller of " + number(input.request) + " is gone"; }
     std::string operator()(const attempt_chunk &input) const
     {
-        return "chunk of attempt " + number(input.attempt) + " " + inQuotes(input.text);
+        return "chunk of attempt " + number(input.attempt) + " " + quotedText(input.text);
     }
     std::string operator()(const attempt_done &input) const
     {
@@ -105,7 +105,7 @@
     std::string operator()(const drain_request &) const { return "planned stop"; }
 };
 
-struct action_text {
+struct action_formatter {
     std::string operator()(const start_attempt &action) const
     {
         return "start attempt " + number(action.attempt) + " of " + number(action.request) + " on " + action.upstream
@@ -115,7 +115,7 @@
     std::string operator()(const cancel_attempt &action) const { return "cancel attempt " + number(action.attempt); }
     std::string operator()(const send_chunk &action) const
     {
-        return "send to caller of " + number(action.request) + " " + inQuotes(action.text);
+        return "send to caller of " + number(action.request) + " " + quotedText(action.text);
     }
     std::string operator()(const finish_request &action) const
     {
@@ -124,7 +124,7 @@
             + field("field", action.field) + field("retry_after_ms", std::uint64_t(action.retryAfter.count()))
             + field("version", action.version) + field("cost", action.costMicroUnits)
             + (action.sessionToken.empty() ? "" : " with token") + field("stored", action.storedResponse)
-            + (action.text.empty() ? "" : " " + inQuotes(action.text));
+            + (action.text.empty() ? "" : " " + quotedText(action.text));
     }
     std::string operator()(const write_claim &action) const
     {
@@ -141,7 +141,7 @@
     }
     std::string operator()(const request_rating &action) const
     {
-        return "rate attempt " + number(action.attempt) + " " + inQuotes(action.text);
+        return "rate attempt " + number(action.attempt) + " " + quotedText(action.text);
     }
     std::string operator()(const share_evidence &action) const
     {
@@ -170,12 +170,12 @@
 
 std::string describe(const core_input &input)
 {
-    return std::visit(input_text{}, input);
+    return std::visit(input_formatter{}, input);
 }
 
 std::string describe(const core_action &action)
 {
-    return std::visit(action_text{}, action);
+    return std::visit(action_formatter{}, action);
 }
 
 } // namespace foxtaildyke::test
