--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -26,8 +26,8 @@
     CHECK_MESSAGE(simulation.transcript() == expected, "differs from ", path, "\n", simulation.transcript());
 }
 
-void foxtaildyke::test::checkAnswer(core_simulation &simulation, request_token request, outcome_kind outcome,
-                                    reason_code reason)
+void foxtaildyke::test::checkResponse(core_simulation &simulation, request_token request, outcome_kind outcome,
+                                      reason_code reason)
 {
     const auto &responses = simulation.responses(request);
     REQUIRE(responses.size() == 1);
@@ -46,7 +46,7 @@
     };
     const auto draft = simulation.submit(10ms, "appeal-draft");
     simulation.run(5s);
-    checkAnswer(simulation, draft, outcome_kind::complete);
+    checkResponse(simulation, draft, outcome_kind::complete);
     checkGolden("appeal-draft", simulation);
 }
 
@@ -59,8 +59,8 @@
         request.prompt = "prompt 1";
     });
     simulation.run(5s);
-    checkAnswer(simulation, first, outcome_kind::complete);
-    checkAnswer(simulation, resend, outcome_kind::complete);
+    checkResponse(simulation, first, outcome_kind::complete);
+    checkResponse(simulation, resend, outcome_kind::complete);
     CHECK(!simulation.responses(resend).front().storedResponse.empty());
     checkGolden("docket-status", simulation);
 }
@@ -75,8 +75,8 @@
     const auto resend =
         simulation.submit(200ms, "receipt-check", [](caller_request &request) { request.requestId = "1790000000-r1"; });
     simulation.run(5s);
-    checkAnswer(simulation, first, outcome_kind::failed_after_run, reason_code::upstream_failed);
-    checkAnswer(simulation, resend, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
+    checkResponse(simulation, first, outcome_kind::failed_after_run, reason_code::upstream_failed);
+    checkResponse(simulation, resend, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
     checkGolden("receipt-check", simulation);
 }
 
@@ -86,7 +86,7 @@
     const auto first =
         simulation.submit(10ms, "release-summary", [](caller_request &request) { request.sessionId = "release-7"; });
     simulation.run(200ms);
-    checkAnswer(simulation, first, outcome_kind::complete);
+    checkResponse(simulation, first, outcome_kind::complete);
     const auto token = simulation.responses(first).front().sessionToken;
     const auto second = simulation.submit(300ms, "release-summary", [&](caller_request &request) {
         request.sessionId = "release-7";
@@ -97,8 +97,8 @@
         request.sessionToken = token;
     });
     simulation.run(5s);
-    checkAnswer(simulation, second, outcome_kind::complete);
-    checkAnswer(simulation, forged, outcome_kind::invalid, reason_code::invalid_session_token);
+    checkResponse(simulation, second, outcome_kind::complete);
+    checkResponse(simulation, forged, outcome_kind::invalid, reason_code::invalid_session_token);
     checkGolden("release-summary", simulation);
 }
 
@@ -118,11 +118,11 @@
     const auto fourth = simulation.submit(13ms, "page-tag");
     const auto late = simulation.submit(3500ms, "page-tag", [](caller_request &request) { request.deadline = 1s; });
     simulation.run(20s);
-    checkAnswer(simulation, first, outcome_kind::complete);
-    checkAnswer(simulation, second, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
-    checkAnswer(simulation, third, outcome_kind::not_run, reason_code::deadline_unreachable);
-    checkAnswer(simulation, fourth, outcome_kind::not_run, reason_code::deadline_unreachable);
-    checkAnswer(simulation, late, outcome_kind::not_run, reason_code::deadline_unreachable);
+    checkResponse(simulation, first, outcome_kind::complete);
+    checkResponse(simulation, second, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
+    checkResponse(simulation, third, outcome_kind::not_run, reason_code::deadline_unreachable);
+    checkResponse(simulation, fourth, outcome_kind::not_run, reason_code::deadline_unreachable);
+    checkResponse(simulation, late, outcome_kind::not_run, reason_code::deadline_unreachable);
     checkGolden("page-tag", simulation);
 }
 
@@ -138,8 +138,8 @@
     const auto first = simulation.submit(10ms, "dossier-summary");
     const auto second = simulation.submit(20ms, "dossier-summary");
     simulation.run(60s);
-    checkAnswer(simulation, first, outcome_kind::complete);
-    checkAnswer(simulation, second, outcome_kind::complete);
+    checkResponse(simulation, first, outcome_kind::complete);
+    checkResponse(simulation, second, outcome_kind::complete);
     checkGolden("dossier-summary", simulation);
 }
 
@@ -175,7 +175,7 @@
     const auto fourth = simulation.submit(1500ms, "tone-check");
     simulation.run(10s);
     for (const auto request : {first, second, third, fourth})
-        checkAnswer(simulation, request, outcome_kind::complete);
+        checkResponse(simulation, request, outcome_kind::complete);
     checkGolden("tone-check", simulation);
 }
 
--- a/tests/test_golden_ledger.cpp
+++ b/tests/test_golden_ledger.cpp
@@ -60,9 +60,9 @@
     const auto early = simulation.submit(500ms, "payment-promise", resendFirst);
     const auto resend = simulation.submit(1500ms, "payment-promise", resendFirst);
     simulation.run(20s);
-    checkAnswer(simulation, late, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
-    checkAnswer(simulation, early, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
-    checkAnswer(simulation, resend, outcome_kind::complete);
+    checkResponse(simulation, late, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
+    checkResponse(simulation, early, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
+    checkResponse(simulation, resend, outcome_kind::complete);
     checkGolden("late-bill", simulation);
 }
 
@@ -85,9 +85,9 @@
     });
     const auto copied = simulation.submit(12100ms, "ledger-lookup");
     simulation.run(20s);
-    checkAnswer(simulation, claim, outcome_kind::may_have_run, reason_code::store_unavailable);
-    checkAnswer(simulation, bill, outcome_kind::failed_after_run, reason_code::store_unavailable);
-    checkAnswer(simulation, pin, outcome_kind::not_run, reason_code::store_unavailable);
-    checkAnswer(simulation, copied, outcome_kind::complete);
+    checkResponse(simulation, claim, outcome_kind::may_have_run, reason_code::store_unavailable);
+    checkResponse(simulation, bill, outcome_kind::failed_after_run, reason_code::store_unavailable);
+    checkResponse(simulation, pin, outcome_kind::not_run, reason_code::store_unavailable);
+    checkResponse(simulation, copied, outcome_kind::complete);
     checkGolden("lost-ledger-replies", simulation);
 }
