--- a/src/event_log_p.h
+++ b/src/event_log_p.h
@@ -20,7 +20,7 @@
     void write(const record_event &event);
 
     /// Writes an event that does not belong to a request.
-    void note(std::string type, std::string reason = {}, generation_number generation = 0);
+    void recordEvent(std::string type, std::string reason = {}, generation_number generation = 0);
 
 private:
     std::string m_process;
--- a/src/metrics_p.h
+++ b/src/metrics_p.h
@@ -21,19 +21,19 @@
     void recordRequest(outcome_kind outcome, reason_code reason, std::chrono::microseconds duration);
 
     /// Records the time from arrival to the first chunk of a streamed response.
-    void noteFirstToken(std::chrono::microseconds duration);
+    void recordFirstToken(std::chrono::microseconds duration);
 
     /// Counts a finished attempt. @param failure empty if the response was complete.
-    void noteAttempt(std::string_view version, std::optional<attempt_failure> failure);
+    void recordAttempt(std::string_view version, std::optional<attempt_failure> failure);
 
     /// Counts tokens and cost of a billed response.
-    void noteBill(std::uint32_t promptTokens, std::uint32_t completionTokens, std::uint64_t costMicroUnits);
+    void recordBill(std::uint32_t promptTokens, std::uint32_t completionTokens, std::uint64_t costMicroUnits);
 
     /// Counts an upstream event that carried the id of another attempt and was dropped.
-    void noteForeignEvent();
+    void recordForeignEvent();
 
     /// Counts a call to the platform. @param name name of the call, e.g. "read". @param end "ok" or an error name.
-    void notePlatformCall(std::string_view name, std::string_view end);
+    void recordPlatformCall(std::string_view name, std::string_view end);
 
     void setOpenRequests(std::size_t count);
     void setGeneration(generation_number generation);
--- a/tests/golden_p.h
+++ b/tests/golden_p.h
@@ -10,8 +10,8 @@
 void checkGolden(const std::string &name, const core_simulation &simulation);
 
 /// Checks that a request received exactly one final response, with the given outcome and reason.
-void checkAnswer(core_simulation &simulation, request_token request, outcome_kind outcome,
-                 reason_code reason = reason_code::none);
+void checkResponse(core_simulation &simulation, request_token request, outcome_kind outcome,
+                   reason_code reason = reason_code::none);
 
 /// @returns a script of an attempt that fails before it sends any text.
 [[nodiscard]] inline attempt_script failing(attempt_failure failure)
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -156,8 +156,8 @@
     const auto draft = simulation.submit(10ms, "reminder-draft");
     const auto interrupted = simulation.submit(500ms, "reminder-draft");
     simulation.run(60s);
-    checkAnswer(simulation, draft, outcome_kind::complete);
-    checkAnswer(simulation, interrupted, outcome_kind::failed_after_run, reason_code::answer_truncated);
+    checkResponse(simulation, draft, outcome_kind::complete);
+    checkResponse(simulation, interrupted, outcome_kind::failed_after_run, reason_code::answer_truncated);
     checkGolden("reminder-draft", simulation);
 }
 
@@ -192,8 +192,8 @@
     const auto hanging =
         simulation.submit(500ms, "ledger-lookup", [](caller_request &request) { request.stream = true; });
     simulation.run(10s);
-    checkAnswer(simulation, completed, outcome_kind::complete);
-    checkAnswer(simulation, hanging, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
+    checkResponse(simulation, completed, outcome_kind::complete);
+    checkResponse(simulation, hanging, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
     checkGolden("ledger-lookup", simulation);
 }
 
@@ -209,10 +209,10 @@
     simulation.call(1000ms, "the store is down", [&] { simulation.ledger.down = true; });
     const auto refused = simulation.submit(1100ms, "payment-promise");
     simulation.run(10s);
-    checkAnswer(simulation, abandoned, outcome_kind::complete);
-    checkAnswer(simulation, duplicate, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
-    checkAnswer(simulation, resend, outcome_kind::complete);
-    checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::store_unavailable);
+    checkResponse(simulation, abandoned, outcome_kind::complete);
+    checkResponse(simulation, duplicate, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
+    checkResponse(simulation, resend, outcome_kind::complete);
+    checkResponse(simulation, refused, outcome_kind::not_run, reason_code::store_unavailable);
     CHECK(simulation.ledger.billsAccepted == 1);
     checkGolden("payment-promise", simulation);
 }
--- a/tests/test_golden_ledger.cpp
+++ b/tests/test_golden_ledger.cpp
@@ -41,10 +41,10 @@
     const auto other = simulation.submit(1700ms, "payment-promise",
                                          [](caller_request &request) { request.requestId = "1790000000-other"; });
     simulation.run(10s);
-    checkAnswer(simulation, refused, outcome_kind::not_run, reason_code::no_upstream);
-    checkAnswer(simulation, resend, outcome_kind::complete);
-    checkAnswer(simulation, secondResend, outcome_kind::complete);
-    checkAnswer(simulation, other, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
+    checkResponse(simulation, refused, outcome_kind::not_run, reason_code::no_upstream);
+    checkResponse(simulation, resend, outcome_kind::complete);
+    checkResponse(simulation, secondResend, outcome_kind::complete);
+    checkResponse(simulation, other, outcome_kind::may_have_run, reason_code::duplicate_in_progress);
     CHECK(simulation.ledger.billsAccepted == 1);
     checkGolden("unsent-claim", simulation);
 }
--- a/tests/test_golden_operation.cpp
+++ b/tests/test_golden_operation.cpp
@@ -195,10 +195,10 @@
     const auto healthy = simulation.submit(600ms, "page-tag");
     const auto later = simulation.submit(700s, "page-tag", poison);
     simulation.run(720s);
-    checkAnswer(simulation, first, outcome_kind::failed_after_run, reason_code::quarantined);
-    checkAnswer(simulation, repeated, outcome_kind::not_run, reason_code::quarantined);
-    checkAnswer(simulation, healthy, outcome_kind::complete);
-    checkAnswer(simulation, later, outcome_kind::failed_after_run, reason_code::upstream_failed);
+    checkResponse(simulation, first, outcome_kind::failed_after_run, reason_code::quarantined);
+    checkResponse(simulation, repeated, outcome_kind::not_run, reason_code::quarantined);
+    checkResponse(simulation, healthy, outcome_kind::complete);
+    checkResponse(simulation, later, outcome_kind::failed_after_run, reason_code::upstream_failed);
     checkGolden("quarantine", simulation);
 }
 
