--- a/tests/control_cli.sh
+++ b/tests/control_cli.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Drives foxtaildyke-control and foxtaildyke-ctl over loopback against the platform stand-in: exit codes of the command
-# line, conflicts, withdrawal, store faults. Guards against commands that report success for a change that was not made.
+# Tests foxtaildyke-control and foxtaildyke-ctl over loopback against the platform emulator: exit codes, conflicts,
+# withdrawal and store faults. Guards against commands that report success for a change that was not made.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 bin=build
@@ -16,20 +16,20 @@
 }
 trap cleanup EXIT
 
-# expect STATUS NAME COMMAND...: runs a command and compares its exit status.
+# expect STATUS NAME COMMAND...: runs a command and checks its exit status.
 expect() {
-    local wanted=$1 name=$2
+    local expected=$1 name=$2
     shift 2
     "$@" >"$work/out" 2>"$work/err"
     local status=$?
-    if [[ $status -ne $wanted ]]; then
-        echo "FAILED $name: status $status, expected $wanted"
+    if [[ $status -ne $expected ]]; then
+        echo "FAILED $name: status $status, expected $expected"
         cat "$work/out" "$work/err"
         failures=$((failures + 1))
     fi
 }
 
-# contains NAME TEXT: checks the output of the last command.
+# contains NAME TEXT: checks that the output of the last command contains TEXT.
 contains() {
     if ! grep -qF -- "$2" "$work/out" "$work/err"; then
         echo "FAILED $1: no '$2' in the output"
@@ -38,7 +38,7 @@
     fi
 }
 
-# wait_for FILE PATTERN: waits up to 10 s until a line matches.
+# wait_for FILE PATTERN: waits up to 10 s for a matching line.
 wait_for() {
     for _ in $(seq 100); do
         grep -qE "$2" "$1" 2>/dev/null && return 0
@@ -84,8 +84,8 @@
 
 expect 0 "check" "$bin/foxtaildyke-ctl" check examples/lin-shou
 expect 0 "check the other deployment" "$bin/foxtaildyke-ctl" check examples/solleciti-padani
-expect 3 "check with a foreign overlay" "$bin/foxtaildyke-ctl" check examples/lin-shou/base.ini examples/solleciti-padani/sala-lodi.ini
-contains "check with a foreign overlay" "overlay_contradicts_base: sala-lodi"
+expect 3 "check with an overlay of another deployment" "$bin/foxtaildyke-ctl" check examples/lin-shou/base.ini examples/solleciti-padani/sala-lodi.ini
+contains "check with an overlay of another deployment" "overlay_contradicts_base: sala-lodi"
 expect 1 "check of a missing file" "$bin/foxtaildyke-ctl" check "$work/none/base.ini"
 expect 2 "unknown command" ctl frob
 expect 2 "no server" "$bin/foxtaildyke-ctl" status
@@ -95,10 +95,10 @@
 contains "diff" "base [account chen-legal-clinic] api_key = (hidden)"
 expect 5 "first apply" ctl apply --change-id first "$work/files"
 contains "first apply" "generation: 1"
-expect 5 "same apply again" ctl apply --change-id first "$work/files"
-contains "same apply again" "generation: 1"
-expect 1 "viewer changes something" "$bin/foxtaildyke-ctl" --server "$server" --key-file "$work/vi" withdraw draft-large-1
-contains "viewer changes something" "forbidden"
+expect 5 "retry of the first apply" ctl apply --change-id first "$work/files"
+contains "retry of the first apply" "generation: 1"
+expect 1 "change by a viewer" "$bin/foxtaildyke-ctl" --server "$server" --key-file "$work/vi" withdraw draft-large-1
+contains "change by a viewer" "forbidden"
 
 sed -i 's/^burst = 6$/burst = 7/' "$work/files/base.ini"
 expect 5 "second apply" ctl apply --generation 1 "$work/files"
@@ -108,20 +108,20 @@
 contains "apply based on generation 1" "conflict: account student-law-review/burst"
 
 expect 5 "withdraw" ctl withdraw draft-small-1
-expect 3 "apply that reinstates" ctl apply "$work/files"
-contains "apply that reinstates" "version_reinstated: version draft-small-1/state"
-expect 4 "start of an active version" ctl rollout start draft-small-2
-expect 5 "halt" ctl rollout halt draft-small-2
-expect 5 "start" ctl rollout start draft-small-2
-expect 5 "step" ctl rollout step draft-small-2
-expect 5 "finish" ctl rollout finish draft-small-2
+expect 3 "apply that reinstates a withdrawn version" ctl apply "$work/files"
+contains "apply that reinstates a withdrawn version" "version_reinstated: version draft-small-1/state"
+expect 4 "rollout start of an active version" ctl rollout start draft-small-2
+expect 5 "rollout halt" ctl rollout halt draft-small-2
+expect 5 "rollout start" ctl rollout start draft-small-2
+expect 5 "rollout step" ctl rollout step draft-small-2
+expect 5 "rollout finish" ctl rollout finish draft-small-2
 expect 0 "history" ctl history
 contains "history" "base [version draft-small-2] share_permille = 50"
 
-# A write that takes effect without an answer is made once: the generation grows by one.
+# A write whose response is lost is applied exactly once: the generation grows by one.
 curl -sS -d '{"lose_answers":1}' "http://$platform/faults" >/dev/null
-expect 5 "withdraw with a lost answer" ctl withdraw draft-large-1
-contains "withdraw with a lost answer" "generation: 8"
+expect 5 "withdraw with a lost response" ctl withdraw draft-large-1
+contains "withdraw with a lost response" "generation: 8"
 curl -sS -d '{"outage":true}' "http://$platform/faults" >/dev/null
 expect 1 "withdraw in an outage" ctl withdraw draft-large-2
 contains "withdraw in an outage" "unavailable"
--- a/tests/failure_deployment.cpp
+++ b/tests/failure_deployment.cpp
@@ -90,7 +90,7 @@
 grants = swift
 )");
     if (!parsed)
-        throw std::runtime_error("test settings: line " + parsed.error().field);
+        throw std::runtime_error("test settings: syntax error at line " + parsed.error().field);
     return parsed.value();
 }
 
@@ -112,7 +112,7 @@
 {
     auto pattern = (std::filesystem::temp_directory_path() / "foxtaildyke-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr)
-        throw std::runtime_error("no temporary directory");
+        throw std::runtime_error("cannot create a temporary directory");
     m_directory = pattern;
     platformPort = freePort();
     platform = std::make_unique<child_process>(
@@ -231,9 +231,9 @@
 {
     const auto layers = applyEdits(m_document.layers, edits);
     if (!layers)
-        throw std::runtime_error("edits: " + layers.error().field);
+        throw std::runtime_error("invalid configuration edits: " + layers.error().field);
     if (const auto checked = checkLayers(layers.value()); checked.has_error())
-        throw std::runtime_error("test settings: " + checked.error().field);
+        throw std::runtime_error("invalid test settings: " + checked.error().field);
     m_document.layers = layers.value();
     ++m_document.generation;
     m_document.history.push_back(
@@ -247,7 +247,7 @@
         write.headers["If-None-Match"] = "*";
     const auto written = send(write);
     if (written.status != 200 && written.status != 201)
-        throw std::runtime_error("the platform refused the configuration");
+        throw std::runtime_error("the platform rejected the configuration");
     return m_document.generation;
 }
 
@@ -312,7 +312,7 @@
         const auto batch =
             decodeRecords(send({.port = platformPort, .path = "/objects/" + item.value("key", "")}).body);
         if (batch.has_error())
-            throw std::runtime_error("a ledger object cannot be read: " + item.value("key", ""));
+            throw std::runtime_error("cannot decode ledger object " + item.value("key", ""));
         records +=
             static_cast<std::size_t>(std::ranges::count_if(batch.value().records, [&](const ledger_record &record) {
                 return record.type == type && record.id == id;
--- a/tests/failure_deployment.h
+++ b/tests/failure_deployment.h
@@ -1,5 +1,5 @@
-// A small deployment of real processes on 127.0.0.1 for failure tests: a platform stand-in, upstream stand-ins and
-// entry hosts, each of which reaches the platform and its peers through links that can be cut.
+// A small deployment of real processes on 127.0.0.1 for failure tests: a platform emulator, upstream stubs and entry
+// hosts. Each host connects to the platform and to its peers through TCP links that can be cut.
 #pragma once
 
 #include "failure_support.h"
@@ -15,18 +15,18 @@
 struct upstream_options {
     std::string name;
     std::string service = "models";
-    std::string versions; ///< separated by commas
-    std::vector<std::string> arguments; ///< further options of the stand-in
+    std::string versions; ///< comma-separated
+    std::vector<std::string> arguments; ///< additional command-line options of the stub
 };
 
-/// An upstream stand-in and its port.
+/// Process of an upstream stub.
 struct upstream_process {
     std::string name;
     std::uint16_t port = 0;
     std::unique_ptr<child_process> process;
 };
 
-/// The router of one entry host and its links.
+/// Router process of one entry host with its TCP links.
 struct router_process {
     std::string name;
     std::string failureDomain;
@@ -38,7 +38,7 @@
     std::unique_ptr<child_process> process;
 };
 
-/// A request as a caller sends it.
+/// Parameters of a caller's request.
 struct caller_call {
     std::string kind = "tone-check";
     std::string prompt = "hello";
@@ -60,32 +60,32 @@
     /// Starts an upstream and waits until it is on the host list.
     upstream_process &addUpstream(const upstream_options &options);
 
-    /// Starts the router of a host (again). @returns once it listens.
+    /// Starts or restarts the router of a host and waits until it listens.
     void startRouter(std::size_t index);
 
-    /// Waits until every router may dispatch.
+    /// Waits until the router of a host serves a request.
     bool waitUntilServing(std::size_t index);
 
-    /// Cuts a host from all other hosts, both ways.
+    /// Cuts the links between a host and all other hosts in both directions.
     void cutPeers(std::size_t index);
     void healPeers(std::size_t index);
 
-    /// Publishes edits of the base as a new generation, directly in the object API.
+    /// Publishes edits of the base layer as a new generation, directly through the object API.
     /// @returns the new generation.
     generation_number publish(const std::vector<config_edit> &edits);
 
     call_response call(std::size_t router, const caller_call &request) const;
     [[nodiscard]] http_call makeCall(std::size_t router, const caller_call &request) const;
 
-    /// Sets faults of the platform or an upstream.
+    /// Sets fault injection of the platform or of an upstream.
     void setFaults(std::uint16_t port, const nlohmann::json &faults) const;
     [[nodiscard]] nlohmann::json counts(std::uint16_t port) const;
 
-    /// @returns how often the upstreams ran a request, summed.
+    /// @returns the number of runs of a request over all upstreams.
     [[nodiscard]] std::uint64_t runsOf(const std::string &requestId) const;
-    /// @returns how often the upstreams ran a version, summed.
+    /// @returns the number of runs of a version over all upstreams.
     [[nodiscard]] std::uint64_t runsOfVersion(const std::string &version) const;
-    /// @returns how many records of a type the ledger objects in the store have for a request id.
+    /// @returns the number of records of a type for a request id in the store's ledger objects.
     [[nodiscard]] std::size_t ledgerRecords(record_type type, const std::string &id) const;
 
     std::uint16_t platformPort = 0;
@@ -101,10 +101,10 @@
     config_document m_document;
 };
 
-/// @returns a request id made now: `<unix seconds>-<token>`.
+/// @returns a request id with the current time: `<unix seconds>-<token>`.
 std::string makeRequestId(const std::string &token);
 
-/// @returns the JSON body of a response, or null where it has none.
+/// @returns the JSON body of a response, or null if it has none.
 nlohmann::json bodyOf(const call_response &response);
 
 } // namespace foxtaildyke::testing
--- a/tests/failure_path.cpp
+++ b/tests/failure_path.cpp
@@ -1,4 +1,4 @@
-// The whole path through separate processes: requests of each kind from a caller to an upstream and back.
+// End-to-end tests across processes: requests of each kind from a caller to an upstream and back.
 #include "failure_deployment.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 namespace
 {
 
-void addUsualUpstreams(deployment &fleet)
+void addStandardUpstreams(deployment &fleet)
 {
     fleet.addUpstream({"u1", "models", "swift-1,grand-1"});
     fleet.addUpstream({"u2", "models", "swift-1,grand-1"});
@@ -18,11 +18,11 @@
 
 } // namespace
 
-// Guards against a break anywhere on the path between caller, router, upstream and ledger.
-TEST_CASE("path: every kind is answered whole, run once and billed once")
+// Guards against a fault anywhere on the path between caller, router, upstream and ledger.
+TEST_CASE("path: every kind gets a complete response, runs once and is billed once")
 {
     deployment fleet(1);
-    addUsualUpstreams(fleet);
+    addStandardUpstreams(fleet);
     REQUIRE(fleet.waitUntilServing(0));
     for (const std::string kind : {"tone-check", "dossier-summary", "reminder-draft", "payment-promise"}) {
         CAPTURE(kind);
@@ -37,11 +37,11 @@
     }
 }
 
-// Guards against a request that reaches an upstream although its client account may not use the model.
-TEST_CASE("path: an account without a grant is refused and nothing runs")
+// Guards against dispatching a request whose client account has no grant for the model.
+TEST_CASE("path: an account without a grant is refused without an upstream run")
 {
     deployment fleet(1);
-    addUsualUpstreams(fleet);
+    addStandardUpstreams(fleet);
     REQUIRE(fleet.waitUntilServing(0));
     const auto id = makeRequestId("refused");
     const auto response = fleet.call(0, {.kind = "reminder-draft", .requestId = id, .apiKey = "test-key-account-b"});
--- a/tests/failure_platform.cpp
+++ b/tests/failure_platform.cpp
@@ -1,4 +1,4 @@
-// Configuration, claims and bills under failures of the platform, cuts of the network and frozen hosts.
+// Configuration, claims and bills under platform failures, network partitions and suspended hosts.
 #include "failure_deployment.h"
 
 #include <csignal>
@@ -11,10 +11,10 @@
 {
 
 /// Longer than the freshness lease of the test settings (2 s).
-constexpr std::chrono::milliseconds kPastLease{3000};
+constexpr std::chrono::milliseconds kBeyondLease{3000};
 
-struct three_hosts : deployment {
-    three_hosts()
+struct three_host_deployment : deployment {
+    three_host_deployment()
         : deployment(3)
     {
         addUpstream({"u1", "models", "swift-1,grand-1"});
@@ -46,20 +46,20 @@
 
 } // namespace
 
-// Guards against work for a withdrawn version by a host that was frozen while the withdrawal was published.
-TEST_CASE("freeze: a router that wakes up past its lease sends nothing to a version withdrawn meanwhile")
+// Guards against dispatching to a withdrawn version from a host that was suspended while the withdrawal was published.
+TEST_CASE("freeze: a router that resumes after its lease expired sends nothing to a version withdrawn meanwhile")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     fleet.routers[2]->process->signal(SIGSTOP);
     fleet.withdraw("grand-1");
     REQUIRE(fleet.refusesVersion(0, "reminder-draft"));
-    std::this_thread::sleep_for(kPastLease);
+    std::this_thread::sleep_for(kBeyondLease);
     const auto runs = fleet.runsOfVersion("grand-1");
-    // These wait in the frozen router's socket and are read before any news of the withdrawal.
-    const auto one = fleet.makeCall(2, {.kind = "reminder-draft", .requestId = makeRequestId("frozen-1")});
-    const auto two = fleet.makeCall(2, {.kind = "reminder-draft", .requestId = makeRequestId("frozen-2")});
-    http_task first(one);
-    http_task second(two);
+    // These are buffered in the suspended router's socket, so it reads them before any update about the withdrawal.
+    const auto firstCall = fleet.makeCall(2, {.kind = "reminder-draft", .requestId = makeRequestId("frozen-1")});
+    const auto secondCall = fleet.makeCall(2, {.kind = "reminder-draft", .requestId = makeRequestId("frozen-2")});
+    http_task first(firstCall);
+    http_task second(secondCall);
     std::this_thread::sleep_for(std::chrono::milliseconds{300});
     fleet.routers[2]->process->signal(SIGCONT);
     CHECK(first.get().status != 200);
@@ -67,12 +67,12 @@
     CHECK(fleet.runsOfVersion("grand-1") == runs);
 }
 
-// Guards against a store outage that stops service, and against "not run" refusals that are not true.
-TEST_CASE("outage: hosts go on serving, non-idempotent requests are refused as not run, and service resumes")
+// Guards against a store outage that stops service, and against false "not run" refusals.
+TEST_CASE("outage: hosts keep serving, non-idempotent requests are refused as not run, and service resumes")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     fleet.setFaults(fleet.platformPort, {{"outage", true}});
-    std::this_thread::sleep_for(kPastLease);
+    std::this_thread::sleep_for(kBeyondLease);
     for (std::size_t i = 0; i < 3; ++i)
         CHECK(fleet.call(i, {.requestId = makeRequestId("o" + std::to_string(i))}).status == 200);
     const caller_call promise{.kind = "payment-promise", .requestId = makeRequestId("promise")};
@@ -87,10 +87,10 @@
     CHECK(fleet.runsOf(promise.requestId) == 1);
 }
 
-// Guards against bills lost when a host dies in a store outage, and against doubled ones afterwards.
-TEST_CASE("outage and kill: a bill made during an outage is written once though its host died")
+// Guards against bills lost when a host dies during a store outage, and against duplicate bills afterwards.
+TEST_CASE("outage and kill: a bill issued during an outage is written once although its host died")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     fleet.setFaults(fleet.platformPort, {{"outage", true}});
     const caller_call request{.kind = "tone-check", .requestId = makeRequestId("billed")};
     REQUIRE(waitFor([&] { return fleet.call(0, request).status == 200; }));
@@ -98,14 +98,14 @@
     CHECK(fleet.call(1, request).status == 200);
     fleet.setFaults(fleet.platformPort, {{"outage", false}});
     REQUIRE(waitFor([&] { return fleet.ledgerRecords(record_type::bill, request.requestId) >= 1; }));
-    std::this_thread::sleep_for(kPastLease);
+    std::this_thread::sleep_for(kBeyondLease);
     CHECK(fleet.ledgerRecords(record_type::bill, request.requestId) == 1);
 }
 
-// Guards against a host that starts with nothing during an outage and serves an old or no generation.
-TEST_CASE("outage and restart: a host that starts during an outage learns the newest generation from its peers")
+// Guards against a host that starts without state during an outage and serves an old generation or none.
+TEST_CASE("outage and restart: a host that starts during an outage recovers the newest generation from its peers")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     fleet.withdraw("grand-1");
     for (std::size_t i = 0; i < 3; ++i)
         REQUIRE(fleet.refusesVersion(i, "reminder-draft"));
@@ -118,10 +118,10 @@
     CHECK(fleet.runsOfVersion("grand-1") == runs);
 }
 
-// Guards against a cut-off minority that serves under a configuration that may be old.
+// Guards against a partitioned minority that serves under a possibly stale configuration.
 TEST_CASE("cut: a host without store and peers refuses as not run, and serves again when the cut is healed")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     fleet.routers[2]->platformLink->cut();
     fleet.cutPeers(2);
     CHECK(fleet.refusesAsStale(2));
@@ -131,21 +131,22 @@
     CHECK(fleet.waitUntilServing(2));
 }
 
-// Guards against a host that stops when only its way to the store is cut.
-TEST_CASE("cut: a host cut off from the store alone goes on through its peers")
+// Guards against a host that stops serving when only its connection to the store is cut.
+TEST_CASE("cut: a host that is cut off from the store alone keeps serving through its peers")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     fleet.routers[0]->platformLink->cut();
-    std::this_thread::sleep_for(kPastLease);
+    std::this_thread::sleep_for(kBeyondLease);
     CHECK(fleet.call(0, {}).status == 200);
     fleet.withdraw("grand-1");
     CHECK(fleet.refusesVersion(0, "reminder-draft"));
 }
 
-// Guards against a majority that is held together by vouches of hosts that know better.
-TEST_CASE("cut in an outage: a minority refuses while the majority serves")
+// Guards against a majority formed with acknowledgements of hosts that already know of a newer state, and against
+// service on the wrong side of a partition during a store outage.
+TEST_CASE("cut during an outage: the minority refuses while the majority serves")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     fleet.setFaults(fleet.platformPort, {{"outage", true}});
     fleet.cutPeers(0);
     CHECK(fleet.refusesAsStale(0));
@@ -154,10 +155,10 @@
     CHECK(fleet.waitUntilServing(0));
 }
 
-// Guards against a claim or bill that is made twice when the answer of a write is lost.
-TEST_CASE("lost answers: requests whose ledger writes lose their answers run once and are billed once")
+// Guards against a duplicate claim or bill when the response to a write is lost.
+TEST_CASE("lost responses: requests whose ledger writes lose their responses run once and are billed once")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     for (int i = 0; i < 5; ++i) {
         fleet.setFaults(fleet.platformPort, {{"lose_answers", 2}});
         const caller_call request{.kind = "payment-promise", .requestId = makeRequestId("lost" + std::to_string(i))};
@@ -165,21 +166,21 @@
         CHECK((response.status == 200 || bodyOf(response).value("outcome", "") == "may_have_run"
                || bodyOf(response).value("outcome", "") == "not_run"));
         fleet.setFaults(fleet.platformPort, {{"lose_answers", 0}});
-        const auto again = fleet.call(static_cast<std::size_t>(i + 1) % 3, request);
-        CHECK(again.status != 0);
+        const auto retry = fleet.call(static_cast<std::size_t>(i + 1) % 3, request);
+        CHECK(retry.status != 0);
         CHECK(fleet.runsOf(request.requestId) <= 1);
         if (response.status == 200) {
-            CHECK(again.status == 200);
+            CHECK(retry.status == 200);
             CHECK(fleet.ledgerRecords(record_type::claim, request.requestId) == 1);
             CHECK(fleet.ledgerRecords(record_type::bill, request.requestId) == 1);
         }
     }
 }
 
-// Guards against a slow store that breaks what a working one holds.
+// Guards against a slow store breaking guarantees that hold with a fast one.
 TEST_CASE("slow store: non-idempotent requests still run once")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     fleet.setFaults(fleet.platformPort, {{"slow_ms", 400}});
     const caller_call request{.kind = "payment-promise", .requestId = makeRequestId("slow")};
     const auto response = fleet.call(0, request);
@@ -188,10 +189,10 @@
     CHECK(fleet.runsOf(request.requestId) == 1);
 }
 
-// Guards against "not run" for a request that runs elsewhere: a caller that trusts it files the request again.
-TEST_CASE("cut: a resend to a host that cannot read the ledger is not told that the request did not run")
+// Guards against "not run" for a request that runs on another host: a caller that trusts it submits the request anew.
+TEST_CASE("cut: a retry on a host that cannot read the ledger is not refused as not run")
 {
-    three_hosts fleet;
+    three_host_deployment fleet;
     fleet.routers[2]->platformLink->cut();
     fleet.cutPeers(2);
     REQUIRE(fleet.refusesAsStale(2));
@@ -200,7 +201,7 @@
     const caller_call request{.kind = "reminder-draft", .requestId = makeRequestId("elsewhere")};
     http_task first(fleet.makeCall(0, request));
     REQUIRE(waitFor([&] { return fleet.runsOf(request.requestId) == 1; }));
-    const auto again = fleet.call(2, request);
-    CHECK(bodyOf(again).value("outcome", "") != "not_run");
+    const auto retry = fleet.call(2, request);
+    CHECK(bodyOf(retry).value("outcome", "") != "not_run");
     CHECK(first.get().status == 200);
 }
--- a/tests/failure_requests.cpp
+++ b/tests/failure_requests.cpp
@@ -1,4 +1,4 @@
-// Requests under failures of routers and upstreams. What ran is counted at the upstream stand-ins.
+// Requests under failures of routers and upstreams. The upstream stubs count the runs.
 #include "failure_deployment.h"
 
 #include <csignal>
@@ -10,9 +10,9 @@
 namespace
 {
 
-/// Two routers, two model engines and one plain service.
-struct usual_deployment : deployment {
-    explicit usual_deployment(std::size_t hosts = 2)
+/// Two routers by default, two model engines and one plain service.
+struct standard_deployment : deployment {
+    explicit standard_deployment(std::size_t hosts = 2)
         : deployment(hosts)
     {
         addUpstream({"u1", "models", "swift-1,grand-1"});
@@ -26,8 +26,8 @@
         setFaults(upstreams[0]->port, faults);
         setFaults(upstreams[1]->port, faults);
     }
-    /// Sends again until the answer is not "the first copy is still open here".
-    call_response resend(std::size_t router, const caller_call &request) const
+    /// Retries while the router reports the first copy of the request as in progress.
+    call_response retryUntilFinished(std::size_t router, const caller_call &request) const
     {
         call_response response;
         waitFor([&] {
@@ -40,40 +40,40 @@
 
 } // namespace
 
-// Guards against a second run of a non-idempotent request whose router died while it ran.
-TEST_CASE("kill: a non-idempotent request whose router dies during the run is not run again")
+// Guards against a second run of a non-idempotent request whose router died during the first.
+TEST_CASE("kill: a non-idempotent request whose router dies during the run does not run a second time")
 {
-    usual_deployment fleet;
+    standard_deployment fleet;
     fleet.setFaultsOfModels({{"late_ms", 3000}});
     const caller_call request{.kind = "reminder-draft", .requestId = makeRequestId("killed")};
     http_task first(fleet.makeCall(0, request));
     REQUIRE(waitFor([&] { return fleet.runsOf(request.requestId) == 1; }));
     fleet.routers[0]->process->kill();
     CHECK(first.get().status != 200);
-    const auto again = fleet.resend(1, request);
-    CHECK(again.status == 409);
-    CHECK(bodyOf(again).value("outcome", "") == "may_have_run");
+    const auto retry = fleet.retryUntilFinished(1, request);
+    CHECK(retry.status == 409);
+    CHECK(bodyOf(retry).value("outcome", "") == "may_have_run");
     CHECK(fleet.runsOf(request.requestId) == 1);
 }
 
-// Guards against a lost or doubled run when the answer was given and the caller asks another host.
-TEST_CASE("kill: after the answer, another host gives the stored answer without a second run")
+// Guards against a lost response or a second run when the caller retries a completed request on another host.
+TEST_CASE("kill: after completion, another host returns the stored response without a second run")
 {
-    usual_deployment fleet;
+    standard_deployment fleet;
     const caller_call request{.kind = "payment-promise", .requestId = makeRequestId("answered")};
     const auto first = fleet.call(0, request);
     REQUIRE(first.status == 200);
     fleet.routers[0]->process->kill();
-    const auto again = fleet.resend(1, request);
-    CHECK(again.status == 200);
-    CHECK(bodyOf(again).value("text", "") == bodyOf(first).value("text", "missing"));
+    const auto retry = fleet.retryUntilFinished(1, request);
+    CHECK(retry.status == 200);
+    CHECK(bodyOf(retry).value("text", "") == bodyOf(first).value("text", "missing"));
     CHECK(fleet.runsOf(request.requestId) == 1);
 }
 
-// Guards against an idempotent request that is lost with its router, and against two bills for it.
-TEST_CASE("kill: an idempotent stream cut off by its router is answered by another host and billed once")
+// Guards against an idempotent request that is lost with its router, and against billing it twice.
+TEST_CASE("kill: an idempotent stream that ends with its router is served by another host and billed once")
 {
-    usual_deployment fleet;
+    standard_deployment fleet;
     fleet.setFaultsOfModels({{"late_ms", 2000}});
     const caller_call request{.kind = "tone-check", .requestId = makeRequestId("stream"), .stream = true};
     http_task first(fleet.makeCall(0, request));
@@ -81,17 +81,17 @@
     fleet.routers[0]->process->kill();
     CHECK_FALSE(first.get().isComplete);
     fleet.setFaultsOfModels({{"late_ms", 0}});
-    auto again = request;
-    again.stream = false;
-    CHECK(fleet.resend(1, again).status == 200);
-    CHECK(fleet.resend(1, again).status == 200);
+    auto retry = request;
+    retry.stream = false;
+    CHECK(fleet.retryUntilFinished(1, retry).status == 200);
+    CHECK(fleet.retryUntilFinished(1, retry).status == 200);
     CHECK(fleet.ledgerRecords(record_type::bill, request.requestId) == 1);
 }
 
-// Guards against answers cut off by a planned stop.
+// Guards against responses truncated by a planned stop.
 TEST_CASE("stop: SIGTERM lets an open stream finish, refuses new requests as not run, and exits with 0")
 {
-    usual_deployment fleet;
+    standard_deployment fleet;
     fleet.setFaultsOfModels({{"late_ms", 2000}});
     const caller_call request{.kind = "tone-check", .requestId = makeRequestId("drained"), .stream = true};
     http_task open(fleet.makeCall(0, request));
@@ -105,16 +105,16 @@
     }));
     if (refused.status != 0)
         CHECK(bodyOf(refused).value("outcome", "") == "not_run");
-    const auto &answer = open.get();
-    CHECK(answer.isComplete);
-    CHECK(answer.body.find("\"complete\"") != std::string::npos);
+    const auto &streamResponse = open.get();
+    CHECK(streamResponse.isComplete);
+    CHECK(streamResponse.body.find("\"complete\"") != std::string::npos);
     CHECK(fleet.routers[0]->process->waitExit() == std::optional(0));
 }
 
-// Guards against an answer that is delivered as whole although the upstream's stream broke off.
-TEST_CASE("upstream: a truncated answer is never complete")
+// Guards against a response delivered as complete although the upstream's stream was truncated.
+TEST_CASE("upstream: a truncated response is never reported as complete")
 {
-    usual_deployment fleet;
+    standard_deployment fleet;
     fleet.setFaultsOfModels({{"truncated", true}});
     const auto response = fleet.call(0, {.kind = "reminder-draft", .requestId = makeRequestId("truncated")});
     CHECK(response.status == 502);
@@ -122,10 +122,10 @@
     CHECK(bodyOf(response).value("reason", "") == "answer_truncated");
 }
 
-// Guards against text of another request in an answer.
-TEST_CASE("upstream: crossed answers are dropped and the caller gets its own")
+// Guards against text of another request in a response.
+TEST_CASE("upstream: responses to other requests are discarded and the caller gets its own")
 {
-    usual_deployment fleet;
+    standard_deployment fleet;
     const caller_call request{.kind = "tone-check", .prompt = "own", .requestId = makeRequestId("own")};
     const auto plain = bodyOf(fleet.call(0, request));
     fleet.setFaultsOfModels({{"crossed", true}});
@@ -139,53 +139,54 @@
     CHECK(bodyOf(response).value("text", "").find("foreign") == std::string::npos);
 }
 
-// Guards against a request that takes down one upstream after another when its caller sends it again.
+// Guards against a request that crashes one upstream after another when its caller retries it.
 TEST_CASE("upstream: a request that crashes upstreams reaches at most two and is then refused on every host")
 {
-    usual_deployment fleet;
+    standard_deployment fleet;
     for (const std::string name : {"u4", "u5", "u6"})
         fleet.addUpstream({name, "models", "swift-1,grand-1"});
-    const auto alive = [&] {
+    const auto countRunning = [&] {
         return std::ranges::count_if(fleet.upstreams,
                                      [](const auto &upstream) { return upstream->process->isRunning(); });
     };
-    const auto before = alive();
-    const auto poison = [&](std::size_t router) {
+    const auto before = countRunning();
+    const auto sendPoisonRequest = [&](std::size_t router) {
         return fleet.call(router, {.kind = "tone-check", .prompt = "poison pill", .requestId = makeRequestId("p")});
     };
-    CHECK(poison(0).status != 200);
-    REQUIRE(waitFor([&] { return bodyOf(poison(1)).value("reason", "") == "quarantined"; }));
-    CHECK(bodyOf(poison(0)).value("reason", "") == "quarantined");
-    CHECK(before - alive() <= 2);
+    CHECK(sendPoisonRequest(0).status != 200);
+    REQUIRE(waitFor([&] { return bodyOf(sendPoisonRequest(1)).value("reason", "") == "quarantined"; }));
+    CHECK(bodyOf(sendPoisonRequest(0)).value("reason", "") == "quarantined");
+    CHECK(before - countRunning() <= 2);
 }
 
-// Guards against work for a replica that the host list shows as leaving.
-TEST_CASE("upstream: a leaving replica gets no new work once its state is known")
+// Guards against dispatching to a replica that the host list shows as leaving.
+TEST_CASE("upstream: a leaving replica gets no new requests once its state is known")
 {
-    usual_deployment fleet;
+    standard_deployment fleet;
     fleet.setFaults(fleet.upstreams[0]->port, {{"leave", true}});
     const auto runs = [&] {
         return fleet.counts(fleet.upstreams[0]->port)["runs_by_version"].value("swift-1", 0);
     };
-    // The host list is read each second: after the last of several answers without a run there, none may follow.
-    int quiet = 0;
+    // The host list is read once a second: after three consecutive rounds without a run on the replica, none may
+    // follow.
+    int roundsWithoutRun = 0;
     REQUIRE(waitFor([&] {
         const auto before = runs();
         for (int i = 0; i < 10; ++i)
             fleet.call(0, {});
-        quiet = runs() == before ? quiet + 1 : 0;
-        return quiet >= 3;
+        roundsWithoutRun = runs() == before ? roundsWithoutRun + 1 : 0;
+        return roundsWithoutRun >= 3;
     }));
-    const auto settled = runs();
+    const auto finalRuns = runs();
     for (int i = 0; i < 50; ++i)
         CHECK(fleet.call(0, {}).status == 200);
-    CHECK(runs() == settled);
+    CHECK(runs() == finalRuns);
 }
 
-// Guards against a session that changes its version when it reaches another host after a roll-out.
+// Guards against a session whose version changes when it reaches another host after a roll-out.
 TEST_CASE("session: token or session id alone keeps the version on another host after a newer version is active")
 {
-    usual_deployment fleet;
+    standard_deployment fleet;
     const auto first = bodyOf(fleet.call(0, {.requestId = makeRequestId("s1"), .sessionId = "s"}));
     REQUIRE(first.value("version", "") == "swift-1");
     const auto generation = fleet.publish({{"", "version swift-2", "model", "swift"},
--- a/tests/failure_support.cpp
+++ b/tests/failure_support.cpp
@@ -54,10 +54,10 @@
     return true;
 }
 
-/// Reads until the peer closes. @returns nothing where the limit ran out first.
-std::optional<std::string> readToEnd(int socket, std::chrono::milliseconds limit)
+/// Reads until the peer closes the connection. @returns nothing on timeout.
+std::optional<std::string> readToEnd(int socket, std::chrono::milliseconds timeout)
 {
-    const auto end = std::chrono::steady_clock::now() + limit;
+    const auto end = std::chrono::steady_clock::now() + timeout;
     std::string bytes;
     char buffer[4096];
     for (;;) {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Undoes the chunked transfer coding. @returns whether the last chunk was there.
+/// Decodes the chunked transfer coding. @returns whether the last chunk was present.
 bool decodeChunks(std::string_view coded, std::string &body)
 {
     for (;;) {
@@ -137,9 +137,9 @@
 
 } // namespace
 
-bool waitFor(const std::function<bool()> &condition, std::chrono::milliseconds limit)
+bool waitFor(const std::function<bool()> &condition, std::chrono::milliseconds timeout)
 {
-    const auto end = std::chrono::steady_clock::now() + limit;
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() >= end)
             return false;
@@ -157,7 +157,7 @@
         && ::getsockname(socket, reinterpret_cast<sockaddr *>(&address), &size) == 0;
     ::close(socket);
     if (!bound)
-        throw std::runtime_error("no free port on 127.0.0.1");
+        throw std::runtime_error("cannot allocate a port on 127.0.0.1");
     return ntohs(address.sin_port);
 }
 
@@ -173,7 +173,7 @@
     const int status = ::posix_spawn(&m_pid, argv[0], &actions, nullptr, argv.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (status != 0)
-        throw std::runtime_error("cannot start " + arguments.front());
+        throw std::runtime_error("cannot spawn " + arguments.front());
 }
 
 child_process::~child_process()
@@ -193,9 +193,9 @@
     waitExit();
 }
 
-std::optional<int> child_process::waitExit(std::chrono::milliseconds limit)
+std::optional<int> child_process::waitExit(std::chrono::milliseconds timeout)
 {
-    const bool ended = waitFor([this] { return !isRunning(); }, limit);
+    const bool ended = waitFor([this] { return !isRunning(); }, timeout);
     return ended ? m_status : std::nullopt;
 }
 
@@ -248,35 +248,35 @@
     std::atomic<bool> isStopped = false;
     std::thread thread;
 
-    /// Two sockets; bytes of one go to the other. A swallowed connection has no far side.
-    struct pair {
-        int near = -1;
-        int far = -1;
+    /// Client and target sockets of a proxied connection. One accepted during a cut has no target.
+    struct proxied_connection {
+        int clientSocket = -1;
+        int targetSocket = -1;
     };
-    std::vector<pair> pairs; ///< used by the thread only
+    std::vector<proxied_connection> connections; ///< accessed by the proxy thread only
 
-    void closePair(pair &entry)
+    void closeConnection(proxied_connection &entry)
     {
-        ::close(entry.near);
-        if (entry.far >= 0)
-            ::close(entry.far);
+        ::close(entry.clientSocket);
+        if (entry.targetSocket >= 0)
+            ::close(entry.targetSocket);
         entry = {};
     }
 
     void accept()
     {
-        const int near = ::accept4(listener, nullptr, nullptr, SOCK_CLOEXEC);
-        if (near < 0)
+        const int clientSocket = ::accept4(listener, nullptr, nullptr, SOCK_CLOEXEC);
+        if (clientSocket < 0)
             return;
-        const int far = isCut ? -1 : connectTo(target);
-        if (far < 0 && !isCut) {
-            ::close(near);
+        const int targetSocket = isCut ? -1 : connectTo(target);
+        if (targetSocket < 0 && !isCut) {
+            ::close(clientSocket);
             return;
         }
-        pairs.push_back({near, far});
+        connections.push_back({clientSocket, targetSocket});
     }
 
-    /// @returns false where the connection has ended.
+    /// @returns false if the connection has closed.
     static bool forward(int from, int to)
     {
         char buffer[16384];
@@ -286,43 +286,43 @@
         return to < 0 || sendAll(to, {buffer, static_cast<std::size_t>(size)});
     }
 
-    void dropWhileCut()
+    void closeForwardedWhileCut()
     {
         if (isCut)
-            std::ranges::for_each(pairs, [this](pair &entry) {
-                if (entry.far >= 0)
-                    closePair(entry);
+            std::ranges::for_each(connections, [this](proxied_connection &entry) {
+                if (entry.targetSocket >= 0)
+                    closeConnection(entry);
             });
-        std::erase_if(pairs, [](const pair &entry) { return entry.near < 0; });
+        std::erase_if(connections, [](const proxied_connection &entry) { return entry.clientSocket < 0; });
     }
 
-    void serveOnce()
+    void pollOnce()
     {
         std::vector<pollfd> entries{{listener, POLLIN, 0}};
-        for (const auto &entry : pairs) {
-            entries.push_back({entry.near, POLLIN, 0});
-            entries.push_back({entry.far, POLLIN, 0}); // poll ignores -1
+        for (const auto &entry : connections) {
+            entries.push_back({entry.clientSocket, POLLIN, 0});
+            entries.push_back({entry.targetSocket, POLLIN, 0}); // poll ignores a descriptor of -1
         }
         ::poll(entries.data(), entries.size(), static_cast<int>(kPollInterval.count()));
-        for (std::size_t i = 0; i < pairs.size(); ++i) {
-            auto &entry = pairs[i];
-            const bool nearReady = entries[1 + 2 * i].revents != 0;
-            const bool farReady = entries[2 + 2 * i].revents != 0;
-            const bool isOpen =
-                (!nearReady || forward(entry.near, entry.far)) && (!farReady || forward(entry.far, entry.near));
+        for (std::size_t i = 0; i < connections.size(); ++i) {
+            auto &entry = connections[i];
+            const bool clientReady = entries[1 + 2 * i].revents != 0;
+            const bool targetReady = entries[2 + 2 * i].revents != 0;
+            const bool isOpen = (!clientReady || forward(entry.clientSocket, entry.targetSocket))
+                && (!targetReady || forward(entry.targetSocket, entry.clientSocket));
             if (!isOpen)
-                closePair(entry);
+                closeConnection(entry);
         }
         if (entries[0].revents != 0)
             accept();
-        dropWhileCut();
+        closeForwardedWhileCut();
     }
 
     void run()
     {
         while (!isStopped)
-            serveOnce();
-        std::ranges::for_each(pairs, [this](pair &entry) { closePair(entry); });
+            pollOnce();
+        std::ranges::for_each(connections, [this](proxied_connection &entry) { closeConnection(entry); });
         ::close(listener);
     }
 };
@@ -338,7 +338,7 @@
         && ::listen(m_impl->listener, SOMAXCONN) == 0
         && ::getsockname(m_impl->listener, reinterpret_cast<sockaddr *>(&address), &size) == 0;
     if (!isListening)
-        throw std::runtime_error("a link cannot listen on 127.0.0.1");
+        throw std::runtime_error("a TCP link cannot listen on 127.0.0.1");
     m_impl->port = ntohs(address.sin_port);
     m_impl->thread = std::thread([this] { m_impl->run(); });
 }
--- a/tests/failure_support.h
+++ b/tests/failure_support.h
@@ -1,5 +1,5 @@
-// Support for tests with real processes: child processes, a blocking HTTP client, and TCP links that can be cut.
-// Waiting is bounded by long limits; nothing here asserts a duration.
+// Support for tests with real processes: child processes, a blocking HTTP client, and TCP proxies that can be cut.
+// Waits have long timeouts; nothing here asserts a duration.
 #pragma once
 
 #include <chrono>
@@ -16,31 +16,31 @@
 namespace foxtaildyke::testing
 {
 
-/// Longest time that a test waits for an event that must come.
-constexpr std::chrono::seconds kEventLimit{60};
+/// Timeout for events that a test requires.
+constexpr std::chrono::seconds kEventTimeout{60};
 
-/// Polls until the condition holds. @returns whether it did within the limit.
-bool waitFor(const std::function<bool()> &condition, std::chrono::milliseconds limit = kEventLimit);
+/// Polls until the condition holds. @returns false on timeout.
+bool waitFor(const std::function<bool()> &condition, std::chrono::milliseconds timeout = kEventTimeout);
 
-/// @returns a TCP port on 127.0.0.1 that nothing listens on at the moment.
+/// @returns a TCP port on 127.0.0.1 without a listener. The port is not reserved: another process can bind it first.
 std::uint16_t freePort();
 
-/// A process started by a test; killed with the object.
+/// Child process of a test; the destructor kills it.
 class child_process
 {
 public:
     /// @param arguments program path first.
-    /// @param outputPath file that takes standard output and standard error.
+    /// @param outputPath file to which standard output and standard error are appended.
     child_process(std::vector<std::string> arguments, const std::string &outputPath);
     ~child_process();
     child_process(const child_process &) = delete;
     child_process &operator=(const child_process &) = delete;
 
     void signal(int number) const;
-    /// Kills the process and waits for its end.
+    /// Sends SIGKILL and reaps the process.
     void kill();
-    /// @returns the exit code (128 + signal where a signal ended it), or nothing within the limit.
-    std::optional<int> waitExit(std::chrono::milliseconds limit = kEventLimit);
+    /// @returns the exit code (128 + signal number if a signal terminated it), or nothing on timeout.
+    std::optional<int> waitExit(std::chrono::milliseconds timeout = kEventTimeout);
     [[nodiscard]] bool isRunning();
 
 private:
@@ -49,10 +49,10 @@
 };
 
 struct call_response {
-    int status = 0; ///< 0: no answer
+    int status = 0; ///< 0: no response
     std::map<std::string, std::string> headers; ///< names in lower case
     std::string body;
-    bool isComplete = false; ///< false where the connection ended before the end of the body
+    bool isComplete = false; ///< false if the connection closed before the end of the body
 };
 
 struct http_call {
@@ -61,19 +61,19 @@
     std::string path = "/";
     std::map<std::string, std::string> headers;
     std::string body;
-    std::chrono::seconds timeout = kEventLimit;
+    std::chrono::seconds timeout = kEventTimeout;
 };
 
-/// Sends one request to 127.0.0.1 and waits for the answer.
+/// Sends one request to 127.0.0.1 and blocks until the response or a timeout.
 call_response send(const http_call &call);
 
-/// Sends a request on a thread of its own.
+/// Sends a request on a separate thread.
 class http_task
 {
 public:
     explicit http_task(http_call call);
     ~http_task();
-    /// Waits for the answer.
+    /// Blocks until the response.
     const call_response &get();
 
 private:
@@ -81,14 +81,14 @@
     std::thread m_thread;
 };
 
-/// Forwards TCP connections from a port of its own to a target, until it is cut.
+/// TCP proxy from an ephemeral port to a target port; cutting it emulates a network partition.
 class tcp_link
 {
 public:
     explicit tcp_link(std::uint16_t targetPort);
     ~tcp_link();
     [[nodiscard]] std::uint16_t port() const;
-    /// Drops open connections and swallows new ones without an answer, as a network that loses packets does.
+    /// Closes open connections, accepts new ones and discards their data, as a network that loses packets does.
     void cut();
     void heal();
 
--- a/tests/load_http.sh
+++ b/tests/load_http.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The load tool over HTTP against a real router and the stand-ins: guards against requests that the tool sends in a form
-# the router refuses, and against answers that it cannot read.
+# Runs the load generator over HTTP against a router process and the stubs. Guards against malformed requests, which the
+# router rejects, and against responses that the load generator cannot parse.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -17,17 +17,17 @@
     exit 1
 }
 
-# eventually COMMAND...: repeats it until it succeeds, for 20 s at most.
+# eventually COMMAND...: retries the command until it succeeds, for up to 20 s.
 eventually() {
-    local try
-    for ((try = 0; try < 200; try++)); do
+    local attempt
+    for ((attempt = 0; attempt < 200; attempt++)); do
         "$@" && return 0
         sleep 0.1
     done
     return 1
 }
 
-# start NAME ARGUMENT...: starts a stand-in and sets address to where it listens.
+# start NAME PROGRAM ARGUMENT...: starts a stub and sets address to its listen address.
 start() {
     local log="$work/$1.log"
     "build/foxtaildyke-$2" "${@:3}" >"$log" &
@@ -47,11 +47,11 @@
 eventually grep -q '"event":"started"' "$work/events.log" 2>/dev/null || fail "the router does not start"
 router=$(sed -n 's/.*"event":"started","reason":"\([^"]*\)".*/\1/p' "$work/events.log")
 
-is_answered() {
+has_complete_response() {
     curl -s -m 5 "http://$router/v1/answers" -H 'Authorization: Bearer k-studio' -d '{"kind":"page-tag","prompt":"p"}' \
         | grep -q '"outcome":"complete"'
 }
-eventually is_answered || fail "no complete answer"
+eventually has_complete_response || fail "no complete response"
 
 cat tests/data/whole_path.ini - >"$work/load.ini" <<END
 
@@ -77,6 +77,7 @@
 completion_tokens = 5
 duplicate_permille = 200
 END
-build/foxtaildyke-load --config "$work/load.ini" --json "$work/load.json" >"$work/load.txt" || fail "the run failed"
+build/foxtaildyke-load --config "$work/load.ini" --json "$work/load.json" >"$work/load.txt" \
+    || fail "the load generator failed"
 completed=$(awk '$1 == "all" { print ($2 > 30 && $2 == $3) }' "$work/load.txt")
-[[ "$completed" == 1 ]] || fail "not every request was answered whole"
+[[ "$completed" == 1 ]] || fail "not every request got a complete response"
--- a/tests/load_virtual.sh
+++ b/tests/load_virtual.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Virtual-time experiments: settings that no longer load, figures that differ from run to run, a pool beyond its capacity
-# that halts a good version, and a cost at the target above 0.6 of always strongest.
+# Virtual-time experiments. Guards against example settings that no longer load, results that differ between runs with
+# equal seeds, an overloaded pool that halts a good version, and a policy cost at the quality target above 0.6 of the
+# cost of always using the strongest model.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -16,12 +17,13 @@
 overload=examples/experiments/overload.ini
 "$load" --virtual --config "$overload" --arm capacity-1.5 --json "$work/a.json" --svg "$work/a.svg" >"$work/a.txt"
 "$load" --virtual --config "$overload" --arm capacity-1.5 --json "$work/b.json" >"$work/b.txt"
-cmp "$work/a.json" "$work/b.json" || { echo "equal seeds give different figures"; exit 1; }
+cmp "$work/a.json" "$work/b.json" || { echo "equal seeds give different results"; exit 1; }
 grep -q '</svg>' "$work/a.svg"
-! grep -q 'good version .* halted' "$work/a.txt" || { echo "overload halted a good version"; exit 1; }
+! grep -q 'good version .* halted' "$work/a.txt" || { echo "a good version was halted under overload"; exit 1; }
 
 for deployment in lin-shou solleciti-padani; do
     "$load" --virtual --config "examples/experiments/$deployment-policy.ini" >"$work/policy.txt"
     ratio=$(sed -n '/^arm policy /,/relative to/s/.*relative to strongest: \([0-9.]*\);.*/\1/p' "$work/policy.txt")
-    awk -v r="$ratio" 'BEGIN { exit !(r > 0 && r <= 0.6) }' || { echo "$deployment: cost ratio '$ratio'"; exit 1; }
+    awk -v r="$ratio" 'BEGIN { exit !(r > 0 && r <= 0.6) }' \
+        || { echo "$deployment: cost ratio '$ratio' is not in (0, 0.6]"; exit 1; }
 done
--- a/tests/spec.sh
+++ b/tests/spec.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks the models in spec/ with spin: each sound model in full, and each broken variant, which has to be refuted.
-# Fails where a sound model has an error or was not searched to its end, or where a broken variant passes.
+# Checks the models in spec/ with spin: each sound model exhaustively, and each broken variant, which must be refuted.
+# Fails if a sound model has an error or its search is incomplete, or if a broken variant passes.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 source_directory=$PWD/spec
@@ -9,7 +9,7 @@
 trap '[[ $BASHPID -eq $parent ]] && rm -rf "$work"' EXIT
 failures=0
 
-# Bounds: depth 1,000,000 (the sound models reach less than 10,000), 1,000 MB, 120 s on a busy machine.
+# Limits: depth 1,000,000 (the sound models reach less than 10,000), 1,000 MB, 120 s to allow for a busy machine.
 kDepth=1000000
 kSeconds=120
 
@@ -28,7 +28,7 @@
     fi
     (cd "$directory" && timeout "$kSeconds" ./pan -m"$kDepth" -w23 >pan.log 2>&1)
     local status=$? log=$directory/pan.log verdict
-    # Sound models may leave parts unreached, but must be searched to the end without an error.
+    # Sound models may have unreached states, but the search must complete without an error.
     if grep -q "errors: 0" "$log" && [[ $status -eq 0 ]] \
         && ! grep -qE "Search not completed|max search depth too small|out of memory|reached -DMEMLIM" "$log"; then
         verdict=SOUND
@@ -63,7 +63,7 @@
         DATED_AT_RECEIPT VOUCH_MINORITY GENERATION_DOWN; do
         check BROKEN freshness -DRESTARTS=1 -D$variant
     done
-    check BROKEN freshness -DRESTARTS=2 -DRECOVER_FROM_RECOVERING # two hosts have to be recovering
+    check BROKEN freshness -DRESTARTS=2 -DRECOVER_FROM_RECOVERING # needs two recovering hosts
     check BROKEN freshness -DRESTARTS=0 -DTWO_OPERATORS -DBLIND_UPDATE
 }
 
@@ -88,7 +88,7 @@
     done
 }
 
-# The models at the same time; each search runs on one core.
+# Checks the models in parallel; each search is single-threaded.
 models=(ledger freshness fencing key_lease rollout)
 declare -A jobs
 for model in "${models[@]}"; do
--- a/tests/standin_platform.sh
+++ b/tests/standin_platform.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The platform stand-in keeps its protocol: the other failure tests are worth nothing where its conditional writes, its
-# faults or its counts are wrong.
+# Protocol conformance of the platform emulator. The failure tests rely on its conditional writes, fault injection and
+# counters, and prove nothing if these are wrong.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -8,23 +8,24 @@
 build/foxtaildyke-standin-platform --weights-burst 2 --weights-per-second 0 >"$work/log" &
 pid=$!
 trap 'kill $pid 2>/dev/null; wait 2>/dev/null; rm -rf "$work"' EXIT
-for ((try = 0; try < 200; try++)); do
+for ((attempt = 0; attempt < 200; attempt++)); do
     grep -q listening "$work/log" && break
     sleep 0.05
 done
 base=http://$(sed -n 's/^listening on //p' "$work/log")
 failures=0
 
-# expect WANTED ARGUMENT...: status of a call; the body goes to $work/body and the headers to $work/headers.
+# expect STATUS ARGUMENT...: checks the status of a curl call; saves the body to $work/body and the headers to
+# $work/headers.
 expect() {
     local status
     status=$(curl -s -m 20 -o "$work/body" -D "$work/headers" -w '%{http_code}' "${@:2}")
     [[ "$status" == "$1" ]] && return
-    echo "line ${BASH_LINENO[0]}: wanted $1, got $status from ${*:2}"
+    echo "line ${BASH_LINENO[0]}: expected $1, got $status from ${*:2}"
     failures=$((failures + 1))
 }
 
-# has TEXT FILE
+# has TEXT FILE: checks that a file in $work contains TEXT.
 has() {
     grep -qF "$1" "$work/$2" && return
     echo "line ${BASH_LINENO[0]}: no '$1' in $2: $(cat "$work/$2")"
@@ -52,11 +53,11 @@
 head -c 1000001 /dev/zero >"$work/large"
 expect 413 -X PUT -H 'If-None-Match: *' --data-binary "@$work/large" "$base/objects/large"
 
-# A watch ends with the change, and without one at its timeout.
+# A watch returns on a change, or at its timeout if there is none.
 expect 304 "$base/objects/b/1?watch=5&timeout_ms=50"
 curl -s -m 20 -o "$work/watched" "$base/objects/b/1?watch=5&timeout_ms=15000" &
 watch=$!
-for ((try = 0; try < 200; try++)); do
+for ((attempt = 0; attempt < 200; attempt++)); do
     curl -s "$base/counts" | grep -q '"watches":2' && break
     sleep 0.05
 done
@@ -64,7 +65,7 @@
 wait "$watch"
 has changed watched
 
-# A lost answer: the write takes effect, the caller sees a broken connection.
+# Lost response: the write takes effect, but the caller sees a closed connection.
 expect 200 -X POST -d '{"lose_answers":1}' "$base/faults"
 expect 000 -X PUT -H 'If-None-Match: *' -d kept "$base/objects/lost"
 expect 200 "$base/objects/lost"
--- a/tests/whole_path.sh
+++ b/tests/whole_path.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The binaries together: a router between both stand-ins answers, runs a resent non-idempotent request once, and on
-# SIGTERM refuses new requests while an open stream ends whole (rules R7 and R9 of docs/design.md).
+# End-to-end test of the binaries. A router between the platform emulator and upstream stubs serves requests, runs a
+# retried non-idempotent request once, and on SIGTERM refuses new requests while an open stream completes (rules R7 and
+# R9 of docs/design.md).
 set -uo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -17,17 +18,17 @@
     exit 1
 }
 
-# eventually COMMAND...: repeats it until it succeeds, for 20 s at most.
+# eventually COMMAND...: retries the command until it succeeds, for up to 20 s.
 eventually() {
-    local try
-    for ((try = 0; try < 200; try++)); do
+    local attempt
+    for ((attempt = 0; attempt < 200; attempt++)); do
         "$@" && return 0
         sleep 0.1
     done
     return 1
 }
 
-# start NAME ARGUMENT...: starts a stand-in and sets address to where it listens.
+# start NAME PROGRAM ARGUMENT...: starts a stub and sets address to its listen address.
 start() {
     local log="$work/$1.log"
     : >"$log"
@@ -37,8 +38,8 @@
     address=$(sed -n 's/^listening on //p' "$log")
 }
 
-# ask KIND ID [FIELD]: one request; FIELD is added to the body.
-ask() {
+# send_request KIND ID [FIELD]: sends one request; FIELD is added to the body.
+send_request() {
     curl -sN -m 20 "http://$router/v1/answers" -H 'Authorization: Bearer k-studio' \
         -H "Foxtaildyke-Request-Id: $(date +%s)-$2" -d "{\"kind\":\"$1\",\"prompt\":\"p\"${3:-}}"
 }
@@ -64,30 +65,31 @@
 eventually grep -q '"event":"started"' "$work/events.log" 2>/dev/null || fail "the router does not start"
 router=$(sed -n 's/.*"event":"started","reason":"\([^"]*\)".*/\1/p' "$work/events.log")
 
-is_answered() { ask page-tag first | grep -q '"outcome":"complete"'; }
-eventually is_answered || fail "no complete answer"
+has_complete_response() { send_request page-tag first | grep -q '"outcome":"complete"'; }
+eventually has_complete_response || fail "no complete response"
 
 id="$(date +%s)-twice"
-twice() {
+send_receipt_check() {
     curl -s -m 20 "http://$router/v1/answers" -H 'Authorization: Bearer k-studio' \
         -H "Foxtaildyke-Request-Id: $id" -d '{"kind":"receipt-check","prompt":"p"}'
 }
-twice | grep -q '"outcome":"complete"' || fail "the first send has no complete answer"
-twice | grep -q '"repeated":true' || fail "the second send does not get the stored answer"
-curl -s "http://$desk/counts" | grep -q "\"$id\":1" || fail "the desk did not run the request exactly once"
+send_receipt_check | grep -q '"outcome":"complete"' || fail "the first attempt gets no complete response"
+send_receipt_check | grep -q '"repeated":true' || fail "the retry does not get the stored response"
+curl -s "http://$desk/counts" | grep -q "\"$id\":1" || fail "the desk upstream did not run the request exactly once"
 
 curl -s -X POST "http://$models/faults" -d '{"late_ms":4000}'
-ask page-tag stream ',"stream":true' >"$work/stream" &
+send_request page-tag stream ',"stream":true' >"$work/stream" &
 stream_pid=$!
 is_running() { curl -s "http://$models/counts" | grep -q '"running":1'; }
 eventually is_running || fail "the stream does not start"
 kill -TERM "$router_pid"
-is_draining() { ask page-tag late | grep -q '"reason":"draining"'; }
-eventually is_draining || fail "a new request is not refused as draining"
-curl -s -o /dev/null -w '%{http_code}' "http://$router/healthz" | grep -qx 503 || fail "the health check stays up"
+is_draining() { send_request page-tag late | grep -q '"reason":"draining"'; }
+eventually is_draining || fail "a new request is not refused with reason draining"
+curl -s -o /dev/null -w '%{http_code}' "http://$router/healthz" | grep -qx 503 \
+    || fail "the health check does not return 503 while draining"
 kill -TERM "$router_pid"
-wait "$stream_pid" || fail "the stream was cut off"
-grep -q '"outcome":"complete"' "$work/stream" || fail "the stream did not end whole: $(cat "$work/stream")"
+wait "$stream_pid" || fail "the stream was interrupted"
+grep -q '"outcome":"complete"' "$work/stream" || fail "the stream did not complete: $(cat "$work/stream")"
 wait "$router_pid"
 status=$?
-[[ $status -eq 0 ]] || fail "the router ended with $status"
+[[ $status -eq 0 ]] || fail "the router exited with $status"
