--- a/cmake/base.cmake
+++ b/cmake/base.cmake
@@ -1,4 +1,4 @@
-# Tasks, HTTP client and server, command line: what every program needs.
+# Tasks, HTTP client and server, and command line, shared by all programs.
 add_library(foxtaildyke-base STATIC
     src/command_line.cpp
     src/event_loop.cpp
--- a/cmake/gateway.cmake
+++ b/cmake/gateway.cmake
@@ -1,4 +1,4 @@
-# The gateway: what runs on the users' platform. It links neither gRPC nor the router's own API.
+# The gateway, which runs on the users' platform. It links neither gRPC nor the router's API.
 add_library(foxtaildyke-gateway-lib STATIC
     platform/decode.cpp
     platform/feed_relay.cpp
--- a/cmake/tests.cmake
+++ b/cmake/tests.cmake
@@ -1,4 +1,4 @@
-# All tests/test_*.cpp make one doctest binary; tests/failure_*.cpp drive real processes and make another.
+# tests/test_*.cpp form one doctest binary; tests/failure_*.cpp, which start real processes, form another.
 find_package(doctest CONFIG REQUIRED)
 file(GLOB unit_tests CONFIGURE_DEPENDS tests/test_*.cpp)
 add_executable(foxtaildyke-tests tests/tests_main.cpp tests/freshness_sim.cpp tests/gateway_harness.cpp
@@ -12,9 +12,9 @@
 target_link_libraries(foxtaildyke-failure-tests PRIVATE foxtaildyke-core foxtaildyke-gateway-lib Threads::Threads)
 target_compile_definitions(foxtaildyke-failure-tests PRIVATE FOXTAILDYKE_BINARY_DIR="${CMAKE_BINARY_DIR}")
 
-# Measurements of the ledger for docs/MEASUREMENTS.md; not a test.
+# Ledger benchmark for docs/MEASUREMENTS.md; not a test.
 add_executable(foxtaildyke-measure-ledger tests/measure_ledger.cpp)
 target_link_libraries(foxtaildyke-measure-ledger PRIVATE foxtaildyke-core)
-# Measurement of the relay tree; see scripts/measure-relay.
+# Relay tree benchmark; see scripts/measure-relay.
 add_executable(foxtaildyke-measure-relay tests/measure_relay.cpp tests/relay_bus.cpp)
 target_link_libraries(foxtaildyke-measure-relay PRIVATE foxtaildyke-adapters)
--- a/spec/fencing.pml
+++ b/spec/fencing.pml
@@ -1,10 +1,10 @@
-/* Orders with fencing tokens: two control processes that hold the controller lease one after the other, the first of
- * them paused after its check, an engine that refuses old tokens and one that ignores tokens. docs/MODELS.md maps the
- * steps to the code.
+/* Orders with fencing tokens: two control processes that hold the controller lease in succession, the first of which
+ * may pause after its lease check; one engine rejects old tokens, another ignores tokens. docs/MODELS.md maps the steps
+ * to the code.
  *
- * Checked: on the engine that checks tokens an older order never takes effect after a newer one, and two tokens are
- * never equal; the engine that ignores tokens ends in the state that the newest holder ordered, and no order on it
- * harms by being carried out twice.
+ * Properties: on the engine that checks tokens an older order never takes effect after a newer one, and tokens are
+ * unique; the engine that ignores tokens converges to the state that the newest holder ordered, and executing an order
+ * twice on it does no harm.
  *
  * Broken variants: NO_TOKEN_CHECK, TOKEN_REUSED, LEASE_UNCONDITIONAL, NO_READ_BACK, UNSAFE_ORDER. */
 
@@ -17,17 +17,17 @@
 byte leaseVersion;       /* of the lease object; renewals raise it */
 byte newest;             /* highest token whose holder has sent an order to the engine that ignores tokens */
 
-/* Orders on their way: the token of each, 0 for none; one of each controller to each engine. */
+/* Orders in flight: the token of each, 0 for none; at most one from each controller to each engine. */
 byte toChecking[CONTROLLERS];
 byte toIgnoring[CONTROLLERS];
 
-byte checkingToken;      /* highest token that the checking engine has seen */
+byte checkingToken;      /* highest token that the checking engine has received */
 byte checkingApplied;    /* token of the order in effect there */
 byte ignoringApplied;    /* the same on the engine that ignores tokens */
-byte loads[4];           /* effects of the order of each token on the ignoring engine */
-byte tokenUsed[4];       /* holders of each token */
-byte clockOf[CONTROLLERS] = PERIOD; /* ticks since the own last renewal; PERIOD: over */
-byte watched[CONTROLLERS];          /* ticks since the other's renewal was last seen */
+byte loads[4];           /* number of effects of each token's order on the ignoring engine */
+byte tokenUsed[4];       /* number of holders of each token */
+byte clockOf[CONTROLLERS] = PERIOD; /* ticks since the controller's last renewal; PERIOD: expired */
+byte watched[CONTROLLERS];          /* ticks since the last observed renewal of the other controller */
 byte seenVersion[CONTROLLERS];
 byte takeovers;
 
@@ -36,7 +36,7 @@
 proctype Controller(byte c) {
     byte token;
     byte version;
-    /* Takes the lease over when it is free or was not renewed for a whole period since this process first saw it. */
+    /* Takes over the lease if it is free or has not been renewed for a whole period since this process first saw it. */
 endTake:
     atomic { takeovers < TAKEOVERS && (leaseHolder == 255 || leaseHolder == c || watched[c] >= PERIOD) ->
         version = leaseVersion }
@@ -66,7 +66,7 @@
 #endif
         fi
     }
-    /* Orders while the own clock says that the lease holds; a pause between the check and the sending is possible. */
+    /* Sends orders while the lease is valid by the local clock; a pause between check and sending is possible. */
     do
     :: clockOf[c] < PERIOD ->
         if
@@ -82,7 +82,7 @@
     od
 }
 
-/* Orders arrive at any time, in any order. */
+/* Orders are delivered at any time, in any order. */
 proctype Network() {
     byte c;
 end:
@@ -102,7 +102,7 @@
                 checkingToken = toChecking[c];
                 checkingApplied = toChecking[c]
 #ifndef NO_TOKEN_CHECK
-            :: else /* refused */
+            :: else /* rejected */
 #endif
             fi;
             toChecking[c] = 0; c = 0 }
@@ -115,7 +115,7 @@
 #ifdef UNSAFE_ORDER
             loads[toIgnoring[c]]++;
 #else
-            loads[toIgnoring[c]] = 1; /* "load" of what is loaded has no effect */
+            loads[toIgnoring[c]] = 1; /* loading a version that is already loaded has no effect */
 #endif
             assert(loads[toIgnoring[c]] <= 1);
             toIgnoring[c] = 0; c = 0 }
@@ -132,7 +132,7 @@
     od
 }
 
-/* The newest holder reads back and orders again until the engine shows its order; runs once the others are done. */
+/* The newest holder reads back the state and resends its order until the engine shows it; runs after the others. */
 proctype ReadBack() {
     timeout;
 #ifndef NO_READ_BACK
--- a/spec/freshness.pml
+++ b/spec/freshness.pml
@@ -1,9 +1,9 @@
-/* Acceptance of a change and freshness leases on three registered hosts, of which two are a majority. Time is counted
- * in ticks that may pass between any two steps, so every step is also a possible pause; ages saturate at the lease
- * period. docs/MODELS.md maps the steps to the code.
+/* Acceptance of a change and freshness leases on three registered hosts, of which two are a majority. Time advances in
+ * ticks that may pass between any two steps, so a host can pause at every step; ages saturate at the lease period.
+ * docs/MODELS.md maps the steps to the code.
  *
- * Operator A withdraws a version (a new generation), operator B changes something else. Checked: after A's change was
- * reported as accepted no host dispatches under a generation without it, and the store never loses it.
+ * Operator A withdraws a version (a new generation), operator B makes an unrelated change. Property: after A's change
+ * was reported as accepted, no host dispatches under a generation without it, and the store never loses it.
  *
  * Broken variants: ACCEPT_AT_WRITE, ACCEPT_NO_WAIT, ACK_KEPT, RECOVER_AT_ONCE, RECOVER_FROM_RECOVERING, RECOVER_FROM_ONE,
  * VOUCH_WHILE_RECOVERING, DATED_AT_RECEIPT, VOUCH_MINORITY, BLIND_UPDATE, GENERATION_DOWN. */
@@ -11,25 +11,25 @@
 #define N 3
 #define L 2          /* lease period in ticks */
 #define NONE 0
-#define SLOW 0       /* root whose messages may be on their way for long; that of the others arrive at once */
-#define QUICK 1      /* second root; the third host hears from the others */
+#define SLOW 0       /* root whose messages may be delayed; those of the others arrive at once */
+#define QUICK 1      /* second root; the third host receives updates from the others */
 
 byte storeGen = 1;
 bool storeUp = true;
 bool withdrawn[4];   /* by generation */
-byte changeGen;      /* generation that A's change made; 0 before */
+byte changeGen;      /* generation that A's change created; 0 before */
 bool accepted;
 
 byte gen[N] = 1;
 byte leaseAge[N] = L;    /* L: no lease */
 bool recovering[N];
 byte restartAge[N] = L;  /* ticks since the restart */
-byte answered[N];        /* while recovering: hosts that answered, bit mask */
-byte best[N];            /* highest generation among their answers */
-byte readGen[N];         /* generation of a read of the store, or of a stamp, on its way; NONE: nothing */
-byte readAge[N] = L;     /* its age: since the read began, or the sender's age and the way */
-byte ackAge[N] = L;      /* since a host's newest acknowledgement of changeGen was made */
-byte waitAge = L;        /* since control saw a majority of acknowledgements */
+byte answered[N];        /* while recovering: bit mask of the hosts that responded */
+byte best[N];            /* highest generation among their responses */
+byte readGen[N];         /* generation of a store read or a stamp in flight; NONE: none */
+byte readAge[N] = L;     /* its age: since the start of the read, or the sender's age plus transit time */
+byte ackAge[N] = L;      /* since a host's newest acknowledgement of changeGen */
+byte waitAge = L;        /* since the control process had a majority of acknowledgements */
 bool waiting;
 byte restarts;
 
@@ -75,7 +75,7 @@
     do
     :: atomic { storeUp && h == QUICK ->
             recovering[h] = false; answered[h] = 0; best[h] = 0; adopt(h, storeGen); stamp(h, 0) }
-    /* A root's read of the store; the host may be paused before it takes the answer. */
+    /* A root's read of the store; the host may pause before it processes the response. */
     :: atomic { storeUp && h == SLOW && readGen[h] == NONE -> readGen[h] = storeGen; readAge[h] = 0 }
     :: atomic { readGen[h] != NONE ->
             recovering[h] = false; answered[h] = 0; best[h] = 0;
@@ -89,8 +89,8 @@
             :: else
             fi;
             readGen[h] = NONE; readAge[h] = L }
-    /* A vouch of another host makes a majority with this one. Dated when it is made, which is the latest it can be
-     * dated: a real round is dated at its start. */
+    /* An acknowledgement of another host forms a majority with this one. It is dated when it is made, the latest
+     * possible date: the implementation dates a round at its start. */
     :: atomic { !recovering[h] -> PEER(g);
             if
 #ifdef VOUCH_WHILE_RECOVERING
@@ -103,7 +103,7 @@
 #ifdef VOUCH_MINORITY
     :: atomic { !recovering[h] -> stamp(h, 0) }
 #endif
-    /* The relay: configuration and stamp of another host; the stamp may be on its way for long. */
+    /* The relay: configuration and stamp of another host; the stamp may be delayed. */
     :: atomic { !recovering[h] -> PEER(g);
             if
             :: !recovering[g] && gen[g] != gen[h] -> adopt(h, gen[g])
@@ -111,7 +111,7 @@
                 readGen[h] = gen[g]; readAge[h] = leaseAge[g]
             :: else
             fi; g = 0 }
-    /* Recovery from others. */
+    /* Recovery from other hosts. */
 #ifdef RECOVER_AT_ONCE
     :: atomic { recovering[h] -> PEER(g);
 #else
@@ -131,9 +131,9 @@
     :: atomic { recovering[h] && BITS(answered[h]) >= 2 && best[h] != 0 ->
 #endif
             recovering[h] = false; adopt(h, best[h]); answered[h] = 0; best[h] = 0 }
-    /* Killed and started again with nothing. */
+    /* Killed and restarted without state. */
     :: atomic { restarts < RESTARTS && !recovering[h] -> restart(h) }
-    /* Dispatch. */
+    /* Dispatches under the current generation while the lease is valid. */
     :: atomic { accepted && !recovering[h] && leaseAge[h] < L -> assert(withdrawn[gen[h]]) }
     od
 }
@@ -158,7 +158,7 @@
     od
 }
 
-/* A second operator with an older view of the store; its update may lose the race. */
+/* A second operator with a possibly outdated view of the store; its update may lose the race. */
 proctype OperatorB() {
     byte seen;
     bool seenWithdrawn;
@@ -176,8 +176,8 @@
     }
 }
 
-/* Operator A and the control process: write, settle, collect acknowledgements, wait. A lost answer needs no step of its
- * own: the write took effect or did not, and the read that settles it finds the change id. */
+/* Operator A and the control process: write, resolve the outcome, collect acknowledgements, wait. A lost response needs
+ * no separate step: the write took effect or did not, and the read that resolves it finds the change id. */
 proctype Control() {
     byte g;
     atomic { storeUp -> storeGen++; withdrawn[storeGen] = true; changeGen = storeGen };
@@ -201,7 +201,7 @@
     od
 }
 
-/* The store goes down once, for good: nothing but the hosts can carry the change then. */
+/* The store fails permanently; from then on only the hosts can propagate the change. */
 proctype Outage() {
     storeUp = false
 }
--- a/spec/key_lease.pml
+++ b/spec/key_lease.pml
@@ -1,22 +1,22 @@
-/* Key lease of a host that reads the configuration from the store or through a relay. A key stands in version 1 and is
- * withdrawn with version 2; answers take any time, and each process may stand still at any point. docs/MODELS.md maps
+/* Key lease of a host that reads the configuration from the store or through a relay. Version 1 contains a
+ * key that version 2 withdraws; responses take any time, and each process may pause at any point. docs/MODELS.md maps
  * the steps to the code.
  *
- * Checked: no request with the key is accepted LEASE ticks or more after the operator's acknowledgement.
+ * Property: no request with the key is accepted LEASE ticks or more after the operator's acknowledgement.
  *
  * Broken variants: RELAY_DATED_AT_RECEIPT, HOST_DATED_AT_RECEIPT, NO_AGE, GOES_BACK, CLOCK_STOPS, NO_LEASE. */
 
 #define LEASE 2 /* ticks */
-#define LAST 5  /* ticks until which time is followed */
+#define LAST 5  /* tick at which the model's time ends */
 
 byte now;
-byte hostClock;         /* what the host's clock shows; differs from now where it stops with the process */
+byte hostClock;         /* reading of the host's clock; differs from now if it stops while the process is paused */
 byte storeVersion = 1;
 bit isWithdrawn;
 byte withdrawnAt;
 
-byte relayVersion;      /* 0: nothing read */
-short relayConfirmed;   /* relayVersion was the newest at this time */
+byte relayVersion;      /* 0: not read yet */
+short relayConfirmed;   /* time at which relayVersion was known to be the newest */
 byte hostVersion;
 short hostConfirmed = -1;
 
@@ -52,7 +52,7 @@
     do
     :: now < LAST ->
         sentAt = now;
-        version = storeVersion; /* the store's answer leaves */
+        version = storeVersion; /* the store sends its response */
         atomic {
             relayVersion = version;
 #ifdef RELAY_DATED_AT_RECEIPT
@@ -110,7 +110,7 @@
 #define HAS_LEASE (hostClock - hostConfirmed < LEASE)
 #endif
 
-/* A request with the key. */
+/* Sends a request with the key. */
 proctype Caller() {
     do
     :: atomic { hostVersion == 1 && HAS_LEASE ->
--- a/spec/ledger.pml
+++ b/spec/ledger.pml
@@ -1,8 +1,8 @@
-/* One ledger segment, one key: two hosts that both take themselves for the segment's owner, and a third that advances
- * the log and compacts it. docs/MODELS.md maps the steps to the code.
+/* One ledger segment, one key: two hosts that both believe to own the segment, and a third that appends to the log and
+ * compacts it. docs/MODELS.md maps the steps to the code.
  *
- * Checked: the request runs at most once; it is billed once where its answer was delivered; a host that said "not run"
- * has no claim that counts.
+ * Properties: the request runs at most once; it is billed once if its response was delivered; a host that reported
+ * "not run" has no effective claim.
  *
  * Broken variants: NO_FLOOR_CHECK, NO_RECHECK, LOST_IS_REFUSED, NO_BATCH_ID, DELETE_BEFORE_FLOOR, BLIND_WRITE,
  * ALL_BILLS_COUNT, NO_COPY. */
@@ -14,21 +14,21 @@
 #define FILLER 3     /* batch of other keys */
 #define BILL 4
 
-#define NOTHING 0    /* what a host has answered */
+#define NOTHING 0    /* outcome that a host has reported */
 #define NOT_RUN 1
 #define UNKNOWN 2
 #define DUPLICATE 3
 #define DELIVERED 4
 
-byte log[N];         /* objects that exist */
-byte first[N];       /* first content of each index that was ever created: the true log */
+byte log[N];         /* existing objects */
+byte first[N];       /* first content ever created at each index: the authoritative log */
 byte base;           /* index of the snapshot */
 byte baseClaim;      /* claim in the snapshot: 0 none, else CLAIM0 + h */
 byte floor;
 byte runs;
 byte bills;          /* bill batches in the log */
 byte told[2];
-byte late[2];        /* 1 + index of a create that is still on its way; 0 none */
+byte late[2];        /* 1 + index of a create in flight; 0 none */
 bool copyKept;       /* a host of another failure domain holds a copy of the bill */
 
 #ifdef BLIND_WRITE
@@ -37,7 +37,7 @@
 #define FREE(at) (log[at] == EMPTY)
 #endif
 
-/* Create-if-absent takes effect. */
+/* A create-if-absent takes effect. */
 inline create(at, batch) {
 #ifdef BLIND_WRITE
     log[at] = batch;
@@ -65,7 +65,7 @@
     }
 }
 
-/* First claim of the true log: the one that counts. */
+/* First claim of the authoritative log: the effective one. */
 inline effectiveClaim(result) {
     byte k = 0;
     result = 0;
@@ -134,9 +134,9 @@
         if
         :: log[next] != EMPTY -> goto settle                /* conflict */
         :: FREE(next) -> create(next, CLAIM0 + h); goto verifyWrite
-        :: true -> create(next, CLAIM0 + h); uncertain = true; goto lost /* answer lost */
+        :: true -> create(next, CLAIM0 + h); uncertain = true; goto lost /* response lost */
         :: late[h] == 0 -> late[h] = next + 1; uncertain = true; goto lost /* takes effect later, or never */
-        :: !uncertain -> told[h] = NOT_RUN; goto done       /* refused by the store */
+        :: !uncertain -> told[h] = NOT_RUN; goto done       /* rejected by the store */
         fi
     }
 lost:
@@ -145,7 +145,7 @@
         told[h] = NOT_RUN; goto done;
 #endif
         if
-        :: told[h] = UNKNOWN; goto done  /* not settled in time */
+        :: told[h] = UNKNOWN; goto done  /* outcome not resolved in time */
         :: skip
         fi
     }
@@ -184,7 +184,7 @@
     }
 granted:
     atomic { runs++; assert(runs <= 1); next = 0; known = 0; from = 0; seen = 0; uncertain = false };
-    /* Billing: written, or copied while the store is down; the host may be killed after either. */
+    /* Billing: the bill is written, or copied while the store is unavailable; the host may be killed after either. */
     atomic {
         if
         :: bills++
@@ -192,7 +192,7 @@
         :: skip
 #else
         :: copyKept = true
-        :: copyKept = true; bills++ /* copied, and written when the store was back */
+        :: copyKept = true; bills++ /* copied, and written after the store is back */
 #endif
         fi;
         told[h] = DELIVERED
@@ -201,7 +201,7 @@
     atomic { next = 0; known = 0; from = 0; seen = 0; uncertain = false }
 }
 
-/* Batches of other keys, and ROUNDS snapshots with the deletion of what they replace. */
+/* Appends batches of other keys, and makes ROUNDS snapshots, deleting the objects that they replace. */
 proctype Compactor() {
     byte end = 0;
     byte claim = 0;
@@ -226,18 +226,18 @@
     od
 }
 
-/* Creates whose answer was lost before they took effect. */
+/* Delivers or drops creates whose response was lost before they took effect. */
 proctype Network() {
 end:
     do
     :: atomic { late[0] != 0 -> create(late[0] - 1, CLAIM0); late[0] = 0 }
     :: atomic { late[1] != 0 -> create(late[1] - 1, CLAIM0 + 1); late[1] = 0 }
-    :: late[0] != 0 -> late[0] = 0 /* never */
+    :: late[0] != 0 -> late[0] = 0 /* never takes effect */
     :: late[1] != 0 -> late[1] = 0
     od
 }
 
-/* After all others: the copy's holder writes it (nothing else depends on when), then a reader reads the log. */
+/* After all others: the holder of the copy writes it (nothing else depends on when), then a reader reads the log. */
 proctype Reader() {
     byte claim;
     timeout;
@@ -253,7 +253,7 @@
 #ifdef ALL_BILLS_COUNT
         assert((told[0] != DELIVERED && told[1] != DELIVERED) || bills == 1);
 #else
-        /* The first bill in log order counts. */
+        /* Only the first bill in log order is effective. */
         assert((told[0] != DELIVERED && told[1] != DELIVERED) || bills >= 1);
 #endif
     }
--- a/spec/rollout.pml
+++ b/spec/rollout.pml
@@ -1,25 +1,25 @@
-/* Roll-out of a bad version, then one of a good version, by two hosts that agree through one object of the store. Writes
+/* Roll-out of a bad version, then of a good one, by two hosts that coordinate through one object of the store. Writes
  * carry the revision that was read and may take effect at any later time. docs/MODELS.md maps the steps to the code.
  *
- * Checked: a decided order is never changed; each host sends at most LIMIT requests to the bad version, whatever the
+ * Properties: a decided order never changes; each host sends at most LIMIT requests to the bad version, whatever the
  * store does, unless the order was completed; a good version is never rolled back.
  *
  * Broken variants: UNCONDITIONAL, NO_LOCAL_STOP, EVIDENCE_KEPT, REVISION_OF_KIND. */
 
 #define HOSTS 2
-#define LIMIT 2  /* bad answers at which a host rejects the version */
-#define STAGES 2 /* in progress; completed after the last */
+#define LIMIT 2  /* bad responses after which a host rejects the version */
+#define STAGES 2 /* stages of a roll-out in progress; completed after the last */
 
 #define IN_PROGRESS 0
 #define COMPLETED 1
 #define ROLLED_BACK 2
 
 byte revision = 1;
-byte order = 1;  /* 1: of the bad version; 2: of the good one, ordered once the first is decided */
+byte order = 1;  /* 1: bad version; 2: good version, ordered after the first order is decided */
 byte state;
 byte stage;
 
-/* Writes on their way, one of each host. */
+/* Writes in flight, at most one per host. */
 bit isPending[HOSTS];
 byte pendingRevision[HOSTS];
 byte pendingState[HOSTS];
@@ -57,7 +57,7 @@
     od
 }
 
-/* The operator orders the next version once the first order is decided. */
+/* Orders the roll-out of the good version once the first order is decided. */
 proctype Operator() {
     atomic { state != IN_PROGRESS && order == 1 ->
         order = 2;
@@ -90,7 +90,7 @@
     bit isRejected;
 endHost:
     do
-    /* reads the object */
+    /* Reads the object. */
     :: atomic { seenRevision != revision ->
         seenRevision = revision;
         seenState = state;
@@ -105,18 +105,18 @@
         :: else -> skip
         fi
     }
-    /* a request to the version on trial, and its answer */
+    /* A request to the version in roll-out, and its response. */
     :: atomic { seenOrder == 1 && seenState == IN_PROGRESS && MAY_SEND ->
         sent[h]++;
         assert(sent[h] <= LIMIT);
         bad++;
         isRejected = (bad >= LIMIT)
     }
-    /* records that it is rolled back */
+    /* Records the roll-back. */
     :: atomic { isRejected && seenState == IN_PROGRESS && !isPending[h] && seenRevision > 0 ->
         submit(ROLLED_BACK, seenStage)
     }
-    /* goes on to the next stage */
+    /* Advances to the next stage. */
     :: atomic { !isRejected && seenState == IN_PROGRESS && !isPending[h] && seenRevision > 0 ->
         if
         :: seenStage + 1 < STAGES -> submit(IN_PROGRESS, seenStage + 1)
