--- a/src/acceptance.cpp
+++ b/src/acceptance.cpp
@@ -58,8 +58,8 @@
         effect.changesLease = effect.changesLease || edit.key == kLeaseKey;
         if (splitSection(edit.section).type != section_table<host_config>::kSection)
             continue;
-        // Adding a host sets all its keys. Any other edit of a host section removes or replaces the process that used
-        // the name.
+        // Adding a host sets all its keys, including region. Any other edit of a host section removes or replaces the
+        // process that used the name.
         const auto setsRegion = [&](const config_edit &other) {
             return other.section == edit.section && other.key == "region" && other.value;
         };
--- a/src/acceptance_p.h
+++ b/src/acceptance_p.h
@@ -37,7 +37,7 @@
     [[nodiscard]] generation_number accepted() const { return m_accepted; }
     [[nodiscard]] generation_number newest() const;
 
-    /// @returns whether more than half of its registered hosts have acknowledged the generation or a later one.
+    /// @returns whether more than half of the generation's registered hosts have acknowledged it or a later one.
     [[nodiscard]] bool hasMajority(generation_number generation) const;
 
     /// @returns registered hosts that have not acknowledged the generation, sorted.
@@ -52,7 +52,7 @@
 
     /// Effect of a change on hosts that have not acknowledged it.
     struct change_effect {
-        bool replacesHosts = false; ///< removes a host from the list; that host may still hold a lease
+        bool replacesHosts = false; ///< removes or replaces a registered host, which may still hold a lease
         bool changesLease = false; ///< the lease before the change may have been longer
     };
 
@@ -65,8 +65,8 @@
     std::map<generation_number, known_generation> m_known; ///< m_accepted (if known) and later generations
     std::map<generation_number, change_effect> m_changes; ///< by generation; only those after m_accepted
     /// Generation that each host acknowledged in the last status. Acknowledgements from earlier statuses don't count: a
-    /// host that has restarted during an outage since then may hold an older generation, so two majorities would not
-    /// have to intersect.
+    /// host that has restarted during an outage since then may hold an older generation, so two majorities might
+    /// not intersect.
     std::map<std::string, generation_number> m_acknowledged;
     generation_number m_accepted = 0;
 };
--- a/src/admin_json.cpp
+++ b/src/admin_json.cpp
@@ -17,9 +17,9 @@
     return edit.key == "api_key" || edit.key == "session_key";
 }
 
-error prefixFile(const std::string &file, const error &failure)
+error prefixField(const std::string &layer, const error &failure)
 {
-    return {failure.code, file + ": " + failure.field};
+    return {failure.code, layer + ": " + failure.field};
 }
 
 } // namespace
@@ -40,7 +40,7 @@
     sent_settings sent;
     auto document = parseIni(*base);
     if (document.has_error())
-        return prefixFile("base", document.error());
+        return prefixField("base", document.error());
     sent.layers.base = std::move(document.value());
     sent.withHosts = memberOf<bool>(body, "hosts").value_or(false);
     sent.generation = memberOf<generation_number>(body, "generation");
@@ -52,7 +52,7 @@
     for (const auto &[failureDomain, text] : overlays.value_or(std::map<std::string, std::string>{})) {
         auto overlay = parseIni(text);
         if (overlay.has_error())
-            return prefixFile(failureDomain, overlay.error());
+            return prefixField(failureDomain, overlay.error());
         if (!overlay.value().empty())
             sent.layers.overlays[failureDomain] = std::move(overlay.value());
     }
--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr double kEvenShare = 0.1; ///< part of a limit that is divided evenly, whatever the demand
+constexpr double kEvenShare = 0.1; ///< part of a limit that is divided evenly, regardless of demand
 constexpr double kMaxRetryAfterSeconds = 60; ///< upper limit of Retry-After
 constexpr std::chrono::milliseconds kConcurrencyRetryAfter{500}; ///< Retry-After at the concurrency limit
 constexpr double kServiceTimeWeight = 0.1; ///< weight of the newest service time in the moving mean
@@ -41,7 +41,7 @@
 std::chrono::milliseconds admission::reserveRetryTime(account_state &state, double waitSeconds, double rate,
                                                       instant now)
 {
-    // Each refused caller gets the time of the next free token that was not yet given to an earlier one.
+    // Each refused caller is assigned the time of the next token that is not yet assigned to an earlier caller.
     const auto free = now + std::chrono::microseconds{static_cast<std::int64_t>(waitSeconds * 1e6)};
     const auto next = state.lastRetryAt + std::chrono::microseconds{static_cast<std::int64_t>(1e6 / rate)};
     const auto maximum = now + std::chrono::microseconds{static_cast<std::int64_t>(kMaxRetryAfterSeconds * 1e6)};
@@ -122,9 +122,9 @@
     m_order.erase(key);
     // Cancelling a request at the back of the queue must not move the virtual time past requests that still wait.
     const auto head = m_order.lower_bound(queue_key{key.priority, 0, 0, {}});
-    const bool classWaits = head != m_order.end() && head->priority == key.priority;
-    auto &now = m_virtualTime[static_cast<std::size_t>(key.priority)];
-    now = std::max(now, classWaits ? std::min(key.startTag, head->startTag) : key.startTag);
+    const bool hasQueued = head != m_order.end() && head->priority == key.priority;
+    auto &virtualTime = m_virtualTime[static_cast<std::size_t>(key.priority)];
+    virtualTime = std::max(virtualTime, hasQueued ? std::min(key.startTag, head->startTag) : key.startTag);
     return true;
 }
 
@@ -167,8 +167,8 @@
             ahead[static_cast<std::size_t>(key.priority)] += 1;
     });
     // While requests of a class wait, the number in flight is this host's share of the pool for that class, however
-    // many hosts and classes use the pool. Service times differ too much between classes for a common mean: a draft
-    // takes as long as 20 lookups.
+    // many hosts and classes use the pool. Service times differ too much between classes for a common mean: a
+    // drafting request takes as long as 20 lookup requests.
     double wait = 0;
     for (std::size_t index = 0; index < kClasses; ++index) {
         const auto &state = found->second[index];
--- a/src/config_holder.cpp
+++ b/src/config_holder.cpp
@@ -1,4 +1,4 @@
-// The configuration document in force on this host; see config_holder_p.h.
+// The current configuration document of this host; see config_holder_p.h.
 #include "config_holder_p.h"
 
 namespace foxtaildyke
--- a/src/config_holder_p.h
+++ b/src/config_holder_p.h
@@ -1,4 +1,4 @@
-// The configuration document in force on this host, and its encoding for hosts that lack it. Performs no I/O.
+// The current configuration document of this host, and its encoding for hosts that don't have it. Does no I/O.
 #pragma once
 
 #include "relay_p.h"
@@ -17,7 +17,7 @@
     [[nodiscard]] result<bool> apply(const config_content &content);
 
     /// @returns the changes after this generation; the whole document for generation 0 or one older than the history;
-    /// or nothing where this generation is not older than the current document.
+    /// or nothing if this generation is not older than the current document.
     [[nodiscard]] config_content contentAfter(generation_number generation) const;
 
     [[nodiscard]] generation_number generation() const { return m_document.generation; }
--- a/src/controller_lease_p.h
+++ b/src/controller_lease_p.h
@@ -26,31 +26,32 @@
     static constexpr std::chrono::milliseconds kPeriod{6000};
     static constexpr std::chrono::milliseconds kRenewPeriod = kPeriod / 3;
     static constexpr std::chrono::milliseconds kActDuration =
-        kPeriod - kPeriod / 3; ///< measured from the start of a renewal
+        kPeriod - kPeriod / 3; ///< how long the holder may act after the start of a renewal
     static constexpr std::chrono::milliseconds kClockDriftMargin =
         kPeriod / 10; ///< margin for clocks that run at different rates
 
-    /// @param holder unique to this process: a restarted process must not mistake its predecessor's lease for its own.
+    /// @param holder unique to this process: after a restart, a process must not treat the lease of the previous one as
+    /// its own.
     controller_lease(object_store &store, std::string holder);
     ~controller_lease();
     controller_lease(const controller_lease &) = delete;
     controller_lease &operator=(const controller_lease &) = delete;
 
     /// Reads, renews or acquires the lease when due.
-    /// @param pollEvery period at which a process that does not hold the lease reads it.
+    /// @param pollPeriod period at which a process that does not hold the lease reads it.
     void tick(instant now, std::chrono::milliseconds pollPeriod);
 
     /// @returns whether this process may act for the deployment.
     [[nodiscard]] bool mayAct(instant now) const { return now < m_actUntil; }
 
     /// @returns whether orders may go to engines that ignore the fencing token: a whole lease period has passed since
-    /// the lease was acquired, so that the term of a paused predecessor has expired.
+    /// the lease was acquired, so the term of a previous holder that was paused has expired.
     [[nodiscard]] bool mayOrderUnfenced(instant now) const;
 
     /// Ends the term because an engine has seen a higher token.
     void relinquish();
 
-    /// @returns the fencing token; meaningful while mayAct().
+    /// @returns the fencing token; valid only while mayAct() returns true.
     [[nodiscard]] std::uint64_t token() const { return m_written.token; }
 
 private:
--- a/src/decision_log_p.h
+++ b/src/decision_log_p.h
@@ -9,10 +9,10 @@
 namespace foxtaildyke
 {
 
-/// Subject of a log line; the rate limit reserves capacity by subject.
+/// Subject of a log line; part of the rate limit is reserved for process lines.
 enum class log_subject : std::uint8_t {
     request, ///< a single request
-    process, ///< state or action of the process; must not be crowded out by request lines
+    process, ///< state or action of the process; must not be dropped because of many request lines
     count
 };
 
--- a/src/event_splitter.cpp
+++ b/src/event_splitter.cpp
@@ -1,4 +1,4 @@
-// Splits an event stream; see event_splitter_p.h.
+// Splits a stream of server-sent events at blank lines; see event_splitter_p.h.
 #include "event_splitter_p.h"
 
 #include <charconv>
@@ -12,10 +12,10 @@
 std::optional<std::uint64_t> idOf(std::string_view event)
 {
     constexpr std::string_view kField = "id:";
-    std::size_t at = 0;
-    while (at < event.size()) {
-        auto line = event.substr(at, event.find('\n', at) - at);
-        at += line.size() + 1;
+    std::size_t position = 0;
+    while (position < event.size()) {
+        auto line = event.substr(position, event.find('\n', position) - position);
+        position += line.size() + 1;
         if (!line.starts_with(kField))
             continue;
         line.remove_prefix(kField.size());
@@ -43,13 +43,13 @@
 void event_splitter::feed(std::string_view bytes, const event_sink &onEvent)
 {
     m_rest.append(bytes);
-    std::size_t used = 0;
-    while (const auto length = eventLength(std::string_view(m_rest).substr(used))) {
-        const auto event = std::string_view(m_rest).substr(used, length);
+    std::size_t consumed = 0;
+    while (const auto length = eventLength(std::string_view(m_rest).substr(consumed))) {
+        const auto event = std::string_view(m_rest).substr(consumed, length);
         onEvent(event, idOf(event));
-        used += length;
+        consumed += length;
     }
-    m_rest.erase(0, used);
+    m_rest.erase(0, consumed);
 }
 
 } // namespace foxtaildyke
--- a/src/evidence_p.h
+++ b/src/evidence_p.h
@@ -19,15 +19,15 @@
     std::uint64_t settled = 0; ///< attempts that were rated, failed, or will never be rated
 };
 
-/// @remarks Each result counts once: local results when they are recorded, those of other hosts when the totals grow.
-/// Rated responses are compared within a stratum (request kind, escalated or not): a shift towards harder requests, as
-/// when a cascade starts to send a strong model only the requests that weaker ones failed, must not look like a bad
-/// version.
+/// @remarks Each result counts once: local results when they are recorded, those of other hosts when the totals
+/// increase. Rated responses are compared within a stratum (request kind, escalated or not), so that a shift towards
+/// harder requests does not look like a bad version. Such a shift occurs when a cascade starts to send a strong model
+/// only the requests at which weaker models failed.
 class evidence_table
 {
 public:
-    /// @param hostName determines whether this host gets a unit of the remainder of an exposure budget; empty: it gets
-    /// none.
+    /// @param hostName name of this host. An exposure budget is divided evenly among the hosts; the name decides which
+    /// of them get one more unit if the division leaves a remainder. Empty: this host gets none of the remainder.
     explicit evidence_table(std::string hostName = {});
 
     /// Counts an attempt that is dispatched.
@@ -83,7 +83,7 @@
         version_evidence local; ///< of this host, since it started
         version_evidence pending; ///< part of `local` not yet sent to the relay
         version_evidence others; ///< of the other hosts
-        batch unscored; ///< arrived since the last isRejected()
+        batch unscored; ///< recorded since the last isRejected()
         double recentPassed = 0; ///< decays exponentially over kRateWindow responses
         double recentFailed = 0;
     };
--- a/src/fleet_p.h
+++ b/src/fleet_p.h
@@ -78,7 +78,7 @@
     std::chrono::seconds ledgerRetention{3600};
     std::uint32_t ledgerSegments = 16;
     std::uint32_t retryBudgetPercent = 10; ///< retries per 100 first attempts
-    std::uint32_t interactiveReservePercent = 20; ///< slots of a pool that only interactive requests may take
+    std::uint32_t interactiveReservePercent = 20; ///< slots of a pool that only interactive requests may use
     std::chrono::seconds quarantineLifetime{600};
     objective_weights weights;
     start_rule startRule = start_rule::least_loss; ///< set by experiments only; has no key in the settings
@@ -115,7 +115,7 @@
 
 using fleet_ptr = std::shared_ptr<const fleet>;
 
-/// A replica as described by the host list and its load reports.
+/// An upstream as described by the host list and its load reports.
 struct upstream_info {
     std::string name;
     std::string address; ///< IP address
--- a/src/forwarding.cpp
+++ b/src/forwarding.cpp
@@ -11,18 +11,17 @@
 namespace
 {
 
-/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that the gateway generates itself.
-constexpr std::array<std::string_view, 11> kConnectionHeaders{
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that the gateway handles or generates itself.
+constexpr std::array<std::string_view, 11> kNeverForwarded{
     "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
     "TE",         "Trailer",    "Upgrade",          "Transfer-Encoding",  "Content-Length",
     "Expect"};
 
 constexpr std::uint32_t kLowestPriority = 9;
 
-bool isConnectionHeader(std::string_view name)
+bool isNeverForwarded(std::string_view name)
 {
-    return std::ranges::any_of(kConnectionHeaders,
-                               [name](std::string_view other) { return isSameHeader(name, other); });
+    return std::ranges::any_of(kNeverForwarded, [name](std::string_view other) { return isSameHeader(name, other); });
 }
 
 bool isOneOf(std::string_view name, const std::vector<std::string> &names)
@@ -31,15 +30,15 @@
 }
 
 /// Parses "PROMPT,OUTPUT" and the caller's estimate of the output length; the estimate takes precedence.
-void parseTokenCounts(request_metadata &facts, const message_head &head, const header_names &headerNames)
+void parseTokenCounts(request_metadata &metadata, const message_head &head, const header_names &headerNames)
 {
     const auto counts = splitList(head.header(headerNames.tokenCounts));
     if (!counts.empty())
-        facts.promptTokens = parseNumber(counts.front()).value_or(0);
+        metadata.promptTokens = parseNumber(counts.front()).value_or(0);
     if (counts.size() > 1)
-        facts.outputTokens = parseNumber(counts[1]).value_or(0);
+        metadata.outputTokens = parseNumber(counts[1]).value_or(0);
     if (const auto hint = parseNumber(head.header(headerNames.lengthHint)))
-        facts.outputTokens = *hint;
+        metadata.outputTokens = *hint;
 }
 
 std::uint64_t tokensOf(std::string_view part)
@@ -49,37 +48,38 @@
 }
 
 /// Parses "ID:TOKENS,...": the last part is specific to the request, the parts before it are shared with others.
-void parsePromptParts(request_metadata &facts, const message_head &head, const header_names &headerNames)
+void parsePromptParts(request_metadata &metadata, const message_head &head, const header_names &headerNames)
 {
     const auto parts = splitList(head.header(headerNames.promptParts));
     if (parts.size() < 2)
         return;
-    facts.sharedPrefixHash = hashOf(parts[parts.size() - 2]) | 1U;
-    facts.sharedTokens = std::accumulate(parts.begin(), parts.end() - 1, std::uint64_t{0},
-                                         [](std::uint64_t sum, const auto &part) { return sum + tokensOf(part); });
-    facts.promptTokens = std::max(facts.promptTokens, facts.sharedTokens);
+    // Setting the lowest bit avoids 0, which stands for no shared prefix.
+    metadata.sharedPrefixHash = hashOf(parts[parts.size() - 2]) | 1U;
+    metadata.sharedTokens = std::accumulate(parts.begin(), parts.end() - 1, std::uint64_t{0},
+                                            [](std::uint64_t sum, const auto &part) { return sum + tokensOf(part); });
+    metadata.promptTokens = std::max(metadata.promptTokens, metadata.sharedTokens);
 }
 
 } // namespace
 
 request_metadata parseRequestHeaders(const message_head &head, const header_names &headerNames)
 {
-    request_metadata facts;
-    facts.id = head.header(headerNames.requestId);
-    facts.host = head.header("Host");
-    facts.model = head.header(headerNames.model);
+    request_metadata metadata;
+    metadata.id = head.header(headerNames.requestId);
+    metadata.host = head.header("Host");
+    metadata.model = head.header(headerNames.model);
     if (const auto deadline = parseNumber(head.header(headerNames.deadline)))
-        facts.deadline = std::chrono::milliseconds{*deadline};
-    facts.lastEventId = parseNumber(head.header(headerNames.lastEventId));
+        metadata.deadline = std::chrono::milliseconds{*deadline};
+    metadata.lastEventId = parseNumber(head.header(headerNames.lastEventId));
     const auto authorization = head.header("Authorization");
     const auto scheme = authorization.substr(0, authorization.find(' '));
     if (isSameHeader(scheme, headerNames.keyScheme) && scheme.size() < authorization.size())
-        facts.key = trimmed(authorization.substr(scheme.size() + 1));
+        metadata.key = trimmed(authorization.substr(scheme.size() + 1));
     const auto session = head.header(headerNames.session);
-    facts.session = hashOf(session.empty() ? std::string_view(facts.id) : session);
-    parseTokenCounts(facts, head, headerNames);
-    parsePromptParts(facts, head, headerNames);
-    return facts;
+    metadata.session = hashOf(session.empty() ? std::string_view(metadata.id) : session);
+    parseTokenCounts(metadata, head, headerNames);
+    parsePromptParts(metadata, head, headerNames);
+    return metadata;
 }
 
 std::string forwardedHead(const caller_request &request, const forward_fields &fields, const header_names &headerNames)
@@ -90,11 +90,13 @@
     const auto add = [&text](std::string_view name, std::string_view value) {
         text.append(name).append(": ").append(value).append("\r\n");
     };
+    // Authorization is removed without a replacement: it contains the caller's API key.
     const auto isReplaced = [&](std::string_view name) {
         return (!fields.model.empty() && isSameHeader(name, headerNames.model))
             || (fields.lastEventId && isSameHeader(name, headerNames.lastEventId))
             || isSameHeader(name, headerNames.deadline) || isSameHeader(name, "Authorization");
     };
+    // These are forwarded even if the caller lists them in its Connection header.
     const auto isRequired = [&](std::string_view name) {
         return isSameHeader(name, "Host") || isSameHeader(name, headerNames.requestId)
             || isSameHeader(name, headerNames.model) || isSameHeader(name, headerNames.tokenCounts)
@@ -102,8 +104,7 @@
     };
     for (const auto &[name, value] : head.headers) {
         const bool isConnectionOption = isOneOf(name, connectionOptions) && !isRequired(name);
-        if (!isConnectionHeader(name) && !isConnectionOption && !isReplaced(name)
-            && !isOneOf(name, headerNames.reserved))
+        if (!isNeverForwarded(name) && !isConnectionOption && !isReplaced(name) && !isOneOf(name, headerNames.reserved))
             add(name, value);
     }
     add(headerNames.deadline, std::to_string(fields.deadline.count()));
@@ -127,7 +128,7 @@
     const auto connectionOptions = splitList(response.header("Connection"));
     http_headers forwarded;
     std::ranges::copy_if(response.headers, std::back_inserter(forwarded), [&](const auto &entry) {
-        return !isConnectionHeader(entry.first) && !isOneOf(entry.first, connectionOptions);
+        return !isNeverForwarded(entry.first) && !isOneOf(entry.first, connectionOptions);
     });
     return forwarded;
 }
--- a/src/replica_table.cpp
+++ b/src/replica_table.cpp
@@ -18,7 +18,7 @@
 
 /// Rendezvous hashing: the replica with the largest value is preferred. Few prompts change their preferred replica when
 /// replicas are added or removed.
-std::uint64_t rendezvous(std::uint64_t prompt, std::uint64_t idHash)
+std::uint64_t rendezvousWeight(std::uint64_t prompt, std::uint64_t idHash)
 {
     const std::array<std::uint64_t, 2> both{prompt, idHash};
     return XXH64(both.data(), sizeof(both), 0);
@@ -54,9 +54,9 @@
 bool replica_table::isEligible(const replica &candidate, const replica_query &query)
 {
     const auto &entry = candidate.entry;
-    const bool isWanted = query.version.empty() || entry.version == query.version;
+    const bool hasRequestedVersion = query.version.empty() || entry.version == query.version;
     const bool isExcluded = !query.excludedVersion.empty() && entry.version == query.excludedVersion;
-    return !entry.isDraining && entry.service == query.service && isWanted && !isExcluded;
+    return !entry.isDraining && entry.service == query.service && hasRequestedVersion && !isExcluded;
 }
 
 replica_table::candidate_list replica_table::candidates(const replica_query &query, instant now)
@@ -126,11 +126,12 @@
 replica_table::replica *replica_table::earliestFirstToken(const candidate_list &available, const replica_query &query,
                                                           instant now)
 {
-    const auto preferred = std::ranges::max_element(
-        available, {}, [&](const replica *candidate) { return rendezvous(query.sharedPrefixHash, candidate->idHash); });
+    const auto preferred = std::ranges::max_element(available, {}, [&](const replica *candidate) {
+        return rendezvousWeight(query.sharedPrefixHash, candidate->idHash);
+    });
     const double repeatedPrefillMs = query.work.sharedMs * (m_othersReportedAt ? kRepeatedPrefillWeight : 1.0);
     const auto delay = [&](const replica *candidate) {
-        // The other hosts prefer the same replica for this prefix, so it is taken to be cached there.
+        // The other hosts prefer the same replica for this prefix, so the prefix is assumed to be cached there.
         const bool isCached = query.sharedPrefixHash != 0
             && (candidate == *preferred || hasCachedPrefix(*candidate, query.sharedPrefixHash, now));
         return waitMs(*candidate) + query.work.ownMs + (isCached ? 0.0 : repeatedPrefillMs)
@@ -204,7 +205,7 @@
     if (found == m_replicas.end())
         return;
     auto &target = found->second;
-    // Attempts that began before a restart of the replica aren't counted in its new entry.
+    // The count starts at 0 again when the replica restarts, so it lacks attempts that began before the restart.
     target.running = target.running > 0 ? target.running - 1 : 0;
     if (!isGood)
         return;
--- a/tools/standin_upstream_service.cpp
+++ b/tools/standin_upstream_service.cpp
@@ -1,4 +1,4 @@
-// Completion requests of the upstream emulator; see standin_upstream_p.h.
+// Request routing and completion requests of the upstream emulator; see standin_upstream_p.h.
 #include "standin_upstream_p.h"
 
 #include <numeric>
@@ -47,24 +47,24 @@
 
 void standin_upstream::serve(const http_exchange_ptr &exchange)
 {
-    struct route {
+    struct http_route {
         http_method method;
         std::string_view path;
-        void (standin_upstream::*serve)(const http_exchange_ptr &);
+        void (standin_upstream::*handler)(const http_exchange_ptr &);
     };
     static constexpr std::array kRoutes{
-        route{http_method::post, "/v1/completions", &standin_upstream::serveCompletion},
-        route{http_method::get, "/load", &standin_upstream::serveLoad},
-        route{http_method::post, "/orders", &standin_upstream::serveOrder},
-        route{http_method::post, "/faults", &standin_upstream::serveFaults},
-        route{http_method::get, "/counts", &standin_upstream::serveCounts},
+        http_route{http_method::post, "/v1/completions", &standin_upstream::serveCompletion},
+        http_route{http_method::get, "/load", &standin_upstream::serveLoad},
+        http_route{http_method::post, "/orders", &standin_upstream::serveOrder},
+        http_route{http_method::post, "/faults", &standin_upstream::serveFaults},
+        http_route{http_method::get, "/counts", &standin_upstream::serveCounts},
     };
-    const auto found = std::ranges::find_if(kRoutes, [&](const route &candidate) {
+    const auto found = std::ranges::find_if(kRoutes, [&](const http_route &candidate) {
         return candidate.method == exchange->method && candidate.path == exchange->path;
     });
     if (found == kRoutes.end())
         return exchange->respond(404, {});
-    (this->*found->serve)(exchange);
+    (this->*found->handler)(exchange);
 }
 
 standin_upstream::run_ptr standin_upstream::parseRun(const http_exchange_ptr &exchange) const
@@ -73,16 +73,16 @@
     const auto &prompt = body.at("prompt").get_ref<const std::string &>();
     if (prompt.find(kCrashMarker) != std::string::npos)
         _exit(1); // emulates a request that crashes the engine: no response and no cleanup
-    auto next = std::make_shared<run>();
-    next->exchange = exchange;
-    next->attempt = exchange->header("X-Attempt-Id");
-    next->request = body.value("request_id", "");
-    next->version = body.at("version").get<std::string>();
-    next->promptTokens = prompt.size() / kBytesPerToken + 1;
-    next->tokens = std::clamp(m_options.tokens, 1U, std::max(1U, body.value("max_tokens", m_options.tokens)));
+    auto parsed = std::make_shared<run>();
+    parsed->exchange = exchange;
+    parsed->attempt = exchange->header("X-Attempt-Id");
+    parsed->request = body.value("request_id", "");
+    parsed->version = body.at("version").get<std::string>();
+    parsed->promptTokens = prompt.size() / kBytesPerToken + 1;
+    parsed->tokens = std::clamp(m_options.tokens, 1U, std::max(1U, body.value("max_tokens", m_options.tokens)));
     const auto priority = kPriorities.find(body.value("priority", "standard"));
-    next->priority = priority == kPriorities.end() ? 1 : priority->second;
-    return next;
+    parsed->priority = priority == kPriorities.end() ? 1 : priority->second;
+    return parsed;
 } catch (const json::exception &) {
     return nullptr;
 }
@@ -166,7 +166,7 @@
 
 void standin_upstream::emitToken(const run_ptr &current)
 {
-    // The connection may have been closed while the timer was running, which keeps the run alive until here.
+    // The timer keeps the run alive, so the connection may have been closed since the timer was started.
     if (!current->exchange->isOpen())
         return;
     if (m_faults.crossed)
