--- a/tools/load_callers.cpp
+++ b/tools/load_callers.cpp
@@ -1,4 +1,4 @@
-// Open-loop callers; see load_callers.h.
+// Open-loop request generation; see load_callers.h.
 #include "load_callers.h"
 
 #include <random>
@@ -17,7 +17,7 @@
     return instant{static_cast<std::int64_t>(seconds * 1e6)};
 }
 
-/// Makes the requests of one workload, so that a change of another one does not change them.
+/// Generates the requests of one workload from its own random stream, so that changing another workload keeps them.
 class workload_planner
 {
 public:
@@ -36,22 +36,23 @@
         const double startsPerSecond = m_source.ratePerSecond / length;
         if (startsPerSecond <= 0)
             return;
-        for (double at = gap(startsPerSecond); at < m_settings.durationSeconds; at += gap(startsPerSecond))
+        for (double at = randomInterval(startsPerSecond); at < m_settings.durationSeconds;
+             at += randomInterval(startsPerSecond))
             planSession(requests, at);
     }
 
 private:
-    double gap(double perSecond) { return std::exponential_distribution<double>(perSecond)(m_random); }
-    std::uint64_t below(std::uint64_t limit)
+    double randomInterval(double perSecond) { return std::exponential_distribution<double>(perSecond)(m_random); }
+    std::uint64_t randomBelow(std::uint64_t limit)
     {
         return std::uniform_int_distribution<std::uint64_t>(0, limit - 1)(m_random);
     }
 
     void planSession(std::vector<planned_request> &requests, double at)
     {
-        const auto &account = m_source.accounts[below(m_source.accounts.size())];
+        const auto &account = m_source.accounts[randomBelow(m_source.accounts.size())];
         const auto name = m_source.name + "." + std::to_string(++m_sessions);
-        const auto group = static_cast<std::uint32_t>(below(std::max(1U, m_source.prefixGroups)));
+        const auto group = static_cast<std::uint32_t>(randomBelow(std::max(1U, m_source.prefixGroups)));
         for (std::uint32_t i = 0; i < std::max(1U, m_source.sessionLength); ++i) {
             requests.push_back({.at = fromSeconds(at),
                                 .workload = m_index,
@@ -60,9 +61,9 @@
                                     + "." + std::to_string(i),
                                 .sessionId = m_source.sessionLength > 1 ? name : std::string{},
                                 .prefixGroup = group,
-                                .hardness = m_random(),
-                                .duplicate = below(1000) < m_source.duplicatePermille});
-            at += gap(1 / std::max(0.001, m_source.thinkSeconds));
+                                .difficulty = m_random(),
+                                .duplicate = randomBelow(1000) < m_source.duplicatePermille});
+            at += randomInterval(1 / std::max(0.001, m_source.thinkSeconds));
         }
     }
 
--- a/tools/load_callers.h
+++ b/tools/load_callers.h
@@ -1,4 +1,4 @@
-// Callers of both modes of foxtaildyke-load: a repeatable, open-loop list of requests made from the workloads.
+// Request generation for both modes of foxtaildyke-load: a deterministic, open-loop schedule built from the workloads.
 #pragma once
 
 #include "load_experiment.h"
@@ -6,7 +6,7 @@
 namespace foxtaildyke::load
 {
 
-/// A request that a caller sends, whatever happened to the ones before.
+/// A scheduled request; it is sent regardless of the outcome of earlier requests.
 struct planned_request {
     instant at{};
     std::size_t workload = 0; ///< index into experiment::workloads
@@ -14,16 +14,16 @@
     std::string requestId;
     std::string sessionId; ///< empty: none
     std::uint32_t prefixGroup = 0;
-    std::uint64_t hardness = 0; ///< random bits that decide which models meet the target
-    bool duplicate = false; ///< also sent through another host at once
+    std::uint64_t difficulty = 0; ///< random bits that decide which models meet the target
+    bool duplicate = false; ///< also sent to a second host at the same time
 };
 
-/// @param unixSeconds wall clock of the callers at the start, for the request ids.
-/// @returns all requests of a run, by time. Equal experiments and seeds give equal lists.
+/// @param unixSeconds the callers' wall-clock time at the start, used in request ids.
+/// @returns all requests of a run, ordered by time. Equal experiments and seeds give equal lists.
 [[nodiscard]] std::vector<planned_request> planRequests(const experiment &settings, std::uint64_t seed,
                                                         std::int64_t unixSeconds);
 
-/// @returns a prompt whose first part is that of the prefix group, at about 4 bytes a token.
+/// @returns a prompt that starts with the prefix of the prefix group, at about 4 bytes per token.
 [[nodiscard]] std::string makePrompt(const workload &source, const planned_request &request, bool shareable);
 
 } // namespace foxtaildyke::load
--- a/tools/load_experiment.cpp
+++ b/tools/load_experiment.cpp
@@ -14,7 +14,7 @@
 
 using section_keys = std::map<std::string, std::string>;
 
-std::vector<std::string> words(const std::string &text)
+std::vector<std::string> splitWords(const std::string &text)
 {
     std::istringstream stream(text);
     return {std::istream_iterator<std::string>(stream), std::istream_iterator<std::string>()};
@@ -42,7 +42,7 @@
 
 bool assign(std::vector<std::string> &target, const std::string &text)
 {
-    target = words(text);
+    target = splitWords(text);
     return !target.empty();
 }
 
@@ -53,7 +53,7 @@
     return found.has_value();
 }
 
-/// Binds the keys of one section to fields, and keeps the first error.
+/// Reads the keys of one section into fields and retains the first error.
 class section_reader
 {
 public:
@@ -75,7 +75,7 @@
         return *this;
     }
 
-    /// @returns an error for a value that could not be read, or for a key that no read() asked for.
+    /// @returns an error for a value that could not be read, or for a key not requested by any read().
     [[nodiscard]] std::optional<error> finish() const
     {
         if (m_error || m_keys.empty())
--- a/tools/load_experiment.h
+++ b/tools/load_experiment.h
@@ -23,11 +23,12 @@
     double thinkSeconds = 5; ///< mean time between the arrivals of a session
     std::uint32_t promptTokens = 400;
     std::uint32_t prefixTokens = 0; ///< first part of the prompt that requests of a prefix group share
-    std::uint32_t prefixGroups = 1; ///< different prefixes
+    std::uint32_t prefixGroups = 1; ///< number of distinct prefixes
     std::uint32_t completionTokens = 100;
     std::uint32_t deadlineMs = 0; ///< 0: the kind's
-    std::uint32_t resends = 0; ///< times that a caller sends a refused or failed request again, after Retry-After
-    std::uint32_t duplicatePermille = 0; ///< requests that a caller also sends through another host at once
+    std::uint32_t resends = 0; ///< maximum retries by a caller of a refused or failed request, after Retry-After
+    std::uint32_t duplicatePermille =
+        0; ///< share of requests that a caller also sends to a second host at the same time
 };
 
 /// Replicas of one service.
@@ -36,10 +37,10 @@
     std::vector<std::string> versions;
     std::uint32_t replicas = 1;
     std::uint32_t slots = 8;
-    std::uint32_t queueLimit = 16; ///< queued requests of a replica; more are refused (overloaded)
+    std::uint32_t queueLimit = 16; ///< maximum queued requests per replica; further ones are refused (overloaded)
     double tokenMs = 10; ///< per generated token on an idle replica; up to half more on a full one
-    double prefillMsPer1k = 200; ///< per 1000 prompt tokens that the prefix cache does not hold
-    std::uint32_t cachedPrefixes = 8; ///< prefixes that a replica keeps
+    double prefillMsPer1k = 200; ///< per 1000 prompt tokens that are not in the prefix cache
+    std::uint32_t cachedPrefixes = 8; ///< capacity of a replica's prefix cache
     std::vector<std::string> failureDomains;
 };
 
@@ -49,14 +50,14 @@
     std::string type; ///< quality, crash, leave, return, rating, version
     std::string version;
     std::string kind; ///< quality: this kind only; empty: all
-    std::uint32_t meetsPermille = 0; ///< quality: chance to meet the target from now on
+    std::uint32_t meetsPermille = 0; ///< quality: new probability of meeting the target
     std::string upstream; ///< crash, leave, return
-    bool up = true; ///< rating: answers or not
+    bool up = true; ///< rating: whether the service responds
     std::string state; ///< version: new state; empty: unchanged
     std::uint32_t sharePermille = 0; ///< version: new share
 };
 
-/// What one arm of a comparison changes. Keys are "section/key" of the settings file.
+/// Settings overridden by one arm of a comparison. Keys are "section/key" of the settings file.
 struct arm {
     std::string name;
     std::map<std::string, std::string> overrides;
@@ -69,25 +70,25 @@
     std::uint32_t repeats = 1; ///< runs with seed, seed + 1, ...
     double durationSeconds = 60; ///< of arrivals
     double warmupSeconds = 0; ///< requests that arrive earlier are not reported
-    std::uint32_t relayMs = 100; ///< from a result on one host until all hosts know of it
+    std::uint32_t relayMs = 100; ///< delay until a result on one host reaches all hosts
     bool shareEvidence = true;
-    bool affinity = true; ///< false: no two prompts look alike to the routers
+    bool affinity = true; ///< false: prompts share no prefix that the routers can match
     start_rule startRule = start_rule::least_loss;
     std::uint32_t ratingMs = 30;
     std::uint32_t ledgerMs = 3;
     std::uint32_t loadReportMs = 250; ///< period, and age on arrival, of load reports
-    std::uint32_t hostListMs = 1000; ///< lag of the host list
-    double correlation = 0.5; ///< share of requests that are equally hard for all models
+    std::uint32_t hostListMs = 1000; ///< propagation delay of the host list
+    double correlation = 0.5; ///< share of requests whose difficulty is the same for all models
     std::vector<std::string> routers; ///< HTTP mode: IP:port of each router
     fleet config;
     std::vector<workload> workloads;
     std::vector<pool> pools;
     std::vector<timed_event> events;
-    /// Chance in 1000 that an answer meets the target, by version and kind; kind "" stands for all others.
+    /// Probability in permille that a response meets the target, by version and kind; kind "" stands for all others.
     std::map<std::pair<std::string, std::string>, std::uint32_t> quality;
 };
 
-/// A settings file: the base, and the arms that are compared with it.
+/// A settings file: the base configuration and the arms to compare.
 struct settings_file {
     ini_document base;
     std::vector<arm> arms; ///< at least one
--- a/tools/load_http.cpp
+++ b/tools/load_http.cpp
@@ -14,11 +14,12 @@
 namespace
 {
 
-constexpr milliseconds kLeastResend{10}; ///< a caller's own pause where it is told none
-constexpr milliseconds kAnswerGrace{5000}; ///< after the deadline, until a caller gives up its connection
-constexpr std::chrono::seconds kEndTime{300}; ///< after the last arrival; then the run ends without the missing answers
+constexpr milliseconds kMinResendDelay{10}; ///< retry delay of a caller that received no longer one
+constexpr milliseconds kResponseGrace{5000}; ///< after the deadline, before a caller closes its connection
+constexpr std::chrono::seconds kMaxDrainTime{
+    300}; ///< after the last arrival; the run then ends without the missing responses
 
-/// One run against real routers; everything happens on one event loop.
+/// One run against real routers, on a single event loop.
 class http_run
 {
 public:
@@ -37,19 +38,19 @@
         for (std::size_t i = 0; i < m_requests.size(); ++i)
             m_loop.after(m_requests[i].at, [this, i] { send(i); });
         const instant last{static_cast<std::int64_t>(m_settings.durationSeconds * 1e6)};
-        m_loop.after(last + kEndTime, [this] { m_loop.stop(); });
+        m_loop.after(last + kMaxDrainTime, [this] { m_loop.stop(); });
         if (!m_requests.empty())
             m_loop.run();
         for (std::size_t i = 0; i < m_requests.size(); ++i)
             count(i);
-        m_report.knowsQuality = false;
+        m_report.hasQualityData = false;
         m_report.repeats = 1;
         return m_report;
     }
 
 private:
     struct request_state {
-        std::uint32_t sendings = 0;
+        std::uint32_t submitCount = 0;
         std::uint32_t open = 0;
         instant firstAt{};
         instant endedAt{};
@@ -64,11 +65,11 @@
     {
         auto &state = m_states[index];
         const auto &id = m_requests[index].requestId;
-        const auto router = XXH64(id.data(), id.size(), m_seed + state.sendings) % m_routers.size();
-        if (state.sendings == 0)
+        const auto router = XXH64(id.data(), id.size(), m_seed + state.submitCount) % m_routers.size();
+        if (state.submitCount == 0)
             state.firstAt = event_loop::now();
         sendTo(index, router);
-        if (m_requests[index].duplicate && state.sendings == 1)
+        if (m_requests[index].duplicate && state.submitCount == 1)
             sendTo(index, (router + 1) % m_routers.size());
     }
 
@@ -98,7 +99,7 @@
     {
         const auto &planned = m_requests[index];
         const auto &source = m_settings.workloads[planned.workload];
-        ++m_states[index].sendings;
+        ++m_states[index].submitCount;
         ++m_states[index].open;
         const nlohmann::json body{{"kind", source.kind},
                                   {"prompt", makePrompt(source, planned, m_settings.affinity)},
@@ -109,30 +110,30 @@
                         .path = "/v1/answers",
                         .headers = headersOf(planned, source),
                         .body = body.dump(),
-                        .timeout = deadlineOf(source) + kAnswerGrace},
-                       {.onDone = [this, index, sentAt = event_loop::now()](const http_response &reply) {
-                           onReply(index, sentAt, reply);
+                        .timeout = deadlineOf(source) + kResponseGrace},
+                       {.onDone = [this, index, sentAt = event_loop::now()](const http_response &response) {
+                           onResponse(index, sentAt, response);
                        }});
     }
 
-    void onReply(std::size_t index, instant sentAt, const http_response &reply)
+    void onResponse(std::size_t index, instant sentAt, const http_response &response)
     {
         auto &state = m_states[index];
         --state.open;
         if (!state.ended || state.outcome != outcome_kind::complete)
-            take(index, sentAt, reply);
-        const bool isLast = state.open == 0 && !resend(index, reply);
+            recordResponse(index, sentAt, response);
+        const bool isLast = state.open == 0 && !resend(index, response);
         if (isLast && ++m_done == m_requests.size())
             m_loop.stop();
     }
 
-    void take(std::size_t index, instant sentAt, const http_response &reply)
+    void recordResponse(std::size_t index, instant sentAt, const http_response &response)
     {
         auto &state = m_states[index];
         state.ended = true;
         state.endedAt = event_loop::now();
-        const auto json = nlohmann::json::parse(reply.body, nullptr, false);
-        if (reply.end != http_end::complete || !json.is_object()) {
+        const auto json = nlohmann::json::parse(response.body, nullptr, false);
+        if (response.end != http_end::complete || !json.is_object()) {
             state.outcome = outcome_kind::may_have_run;
             state.reason = "connection failed";
             return;
@@ -146,19 +147,19 @@
             state.refusalMs.push_back(std::chrono::duration<double, std::milli>(state.endedAt - sentAt).count());
     }
 
-    /// @returns whether the request is sent again.
-    bool resend(std::size_t index, const http_response &reply)
+    /// @returns whether a retry was scheduled.
+    bool resend(std::size_t index, const http_response &response)
     {
         const auto &state = m_states[index];
         const auto &source = m_settings.workloads[m_requests[index].workload];
         const auto &kind = m_settings.config[m_settings.config.kindByName(source.kind)];
         const bool isSafe = state.outcome == outcome_kind::not_run
             || (state.outcome == outcome_kind::failed_after_run && kind.idempotent);
-        if (!isSafe || state.sendings > source.resends)
+        if (!isSafe || state.submitCount > source.resends)
             return false;
-        const auto json = nlohmann::json::parse(reply.body, nullptr, false);
+        const auto json = nlohmann::json::parse(response.body, nullptr, false);
         const milliseconds wait{json.is_object() ? json.value("retry_after_ms", std::int64_t{0}) : 0};
-        m_loop.after(std::max(kLeastResend, wait), [this, index] { send(index); });
+        m_loop.after(std::max(kMinResendDelay, wait), [this, index] { send(index); });
         return true;
     }
 
--- a/tools/load_http.h
+++ b/tools/load_http.h
@@ -7,8 +7,8 @@
 namespace foxtaildyke::load
 {
 
-/// Sends all requests at their times and waits for the answers.
-/// @returns the report, or an error where the settings name no router.
+/// Sends all requests at their scheduled times and waits for the responses.
+/// @returns the report, or an error if the settings list no valid router.
 [[nodiscard]] result<arm_report> runHttp(const experiment &settings, std::uint64_t seed);
 
 } // namespace foxtaildyke::load
--- a/tools/load_main.cpp
+++ b/tools/load_main.cpp
@@ -46,7 +46,7 @@
            "exit codes: 0 success, 1 failure at run time, 2 incorrect usage, 3 invalid settings\n";
 }
 
-/// @returns an exit code where the program ends here.
+/// @returns an exit code if the program should exit.
 std::optional<int> parseOptions(int argc, char **argv, options &chosen)
 {
     enum option_id { config, is_virtual, arm, seed, repeats, accounts, json, svg, check, help, version };
@@ -119,7 +119,7 @@
     sum.cacheHits += run.cacheHits;
     sum.cacheMisses += run.cacheMisses;
     sum.repeats += run.repeats;
-    sum.knowsQuality = run.knowsQuality;
+    sum.hasQualityData = run.hasQualityData;
 }
 
 result<load::arm_report> runArm(const load::experiment &settings, const std::string &name, const options &chosen)
--- a/tools/load_report.cpp
+++ b/tools/load_report.cpp
@@ -1,4 +1,4 @@
-// Sums, table and JSON of a load run; see load_report.h.
+// Totals, table and JSON output of a load run; see load_report.h.
 #include "load_report.h"
 
 #include <cmath>
@@ -20,7 +20,7 @@
     return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-std::uint64_t count(const tally &sums, outcome_kind outcome)
+std::uint64_t count(const request_totals &sums, outcome_kind outcome)
 {
     return sums.outcomes[static_cast<std::size_t>(outcome)];
 }
@@ -32,7 +32,7 @@
     return text.str();
 }
 
-nlohmann::json tallyJson(const tally &sums)
+nlohmann::json totalsToJson(const request_totals &sums)
 {
     nlohmann::json json{{"requests", sums.requests},
                         {"reasons", sums.reasons},
@@ -43,13 +43,13 @@
                         {"share_met", ratio(sums.met, count(sums, outcome_kind::complete))},
                         {"share_in_time", ratio(sums.inTime, sums.requests)},
                         {"refusals", sums.refusalMs.size()},
-                        {"refusals_at_once", sums.refusedAtOnce()},
+                        {"refusals_at_once", sums.countFastRefusals()},
                         {"refusal_ms_most", quantile(sums.refusalMs, 1)},
                         {"runs", sums.runs},
-                        {"runs_most_per_id", sums.runsMost},
+                        {"runs_most_per_id", sums.maxRuns},
                         {"bills", sums.bills},
-                        {"bills_most_per_id", sums.billsMost},
-                        {"rerun_non_idempotent", sums.rerunNonIdempotent}};
+                        {"bills_most_per_id", sums.maxBills},
+                        {"rerun_non_idempotent", sums.retriedNonIdempotent}};
     for (std::size_t i = 0; i < sums.outcomes.size(); ++i)
         json["outcomes"][std::string(nameOf(static_cast<outcome_kind>(i)))] = sums.outcomes[i];
     for (const auto percent : kPercentiles)
@@ -57,16 +57,16 @@
     return json;
 }
 
-nlohmann::json incidentJson(const incident &entry)
+nlohmann::json incidentToJson(const incident &entry)
 {
     return {{"version", entry.version},
             {"bad_at_s", entry.badAtSeconds},
             {"halted_at_s", entry.haltedAtSeconds},
-            {"answers_before_halt", entry.answersBeforeHalt},
-            {"wrong_delivered", entry.wrongDelivered}};
+            {"answers_before_halt", entry.responsesBeforeHalt},
+            {"wrong_delivered", entry.failingDelivered}};
 }
 
-void writeRow(std::ostream &out, const std::string &name, const tally &sums, bool knowsQuality)
+void writeRow(std::ostream &out, const std::string &name, const request_totals &sums, bool hasQualityData)
 {
     out << std::left << std::setw(34) << name << std::right << std::setw(8) << sums.requests;
     for (const auto outcome : sums.outcomes)
@@ -74,12 +74,12 @@
     for (const auto percent : kPercentiles)
         out << std::setw(8) << fixed(quantile(sums.latencyMs, percent / 100.0), 0);
     const auto complete = count(sums, outcome_kind::complete);
-    out << std::setw(9) << (knowsQuality ? fixed(ratio(sums.costMicroUnits, sums.met), 1) : "-") << std::setw(8)
-        << (knowsQuality ? fixed(100 * ratio(sums.met, complete), 1) : "-") << std::setw(8)
+    out << std::setw(9) << (hasQualityData ? fixed(ratio(sums.costMicroUnits, sums.met), 1) : "-") << std::setw(8)
+        << (hasQualityData ? fixed(100 * ratio(sums.met, complete), 1) : "-") << std::setw(8)
         << fixed(100 * ratio(sums.inTime, sums.requests), 1) << std::setw(8)
-        << fixed(100 * ratio(sums.refusedAtOnce(), sums.refusalMs.size()), 1) << std::setw(9)
-        << fixed(quantile(sums.refusalMs, 1), 0) << std::setw(6) << sums.runsMost << std::setw(6) << sums.billsMost
-        << std::setw(7) << sums.rerunNonIdempotent << '\n';
+        << fixed(100 * ratio(sums.countFastRefusals(), sums.refusalMs.size()), 1) << std::setw(9)
+        << fixed(quantile(sums.refusalMs, 1), 0) << std::setw(6) << sums.maxRuns << std::setw(6) << sums.maxBills
+        << std::setw(7) << sums.retriedNonIdempotent << '\n';
 }
 
 void writeIncidents(std::ostream &out, const std::vector<incident> &incidents)
@@ -92,26 +92,26 @@
             out << "  good version " << key.first << " halted in " << list.size() << " runs\n";
             continue;
         }
-        std::vector<double> answers;
-        double wrong = 0;
+        std::vector<double> responses;
+        double failing = 0;
         for (const auto &entry : list) {
-            answers.push_back(static_cast<double>(entry.answersBeforeHalt));
-            wrong += static_cast<double>(entry.wrongDelivered);
+            responses.push_back(static_cast<double>(entry.responsesBeforeHalt));
+            failing += static_cast<double>(entry.failingDelivered);
         }
         const auto halted = std::ranges::count_if(list, [](const auto &entry) { return entry.haltedAtSeconds >= 0; });
         double sum = 0;
-        for (const auto value : answers)
+        for (const auto value : responses)
             sum += value;
         out << "  bad version " << key.first << ": runs " << list.size() << ", halted everywhere " << halted
             << ", answers before the halt: mean " << fixed(sum / static_cast<double>(list.size()), 1) << ", p95 "
-            << fixed(quantile(answers, 0.95), 0) << ", most " << fixed(quantile(answers, 1), 0)
-            << "; wrong answers delivered: mean " << fixed(wrong / static_cast<double>(list.size()), 1) << '\n';
+            << fixed(quantile(responses, 0.95), 0) << ", most " << fixed(quantile(responses, 1), 0)
+            << "; wrong answers delivered: mean " << fixed(failing / static_cast<double>(list.size()), 1) << '\n';
     }
 }
 
 } // namespace
 
-void tally::add(const tally &other)
+void request_totals::add(const request_totals &other)
 {
     requests += other.requests;
     for (std::size_t i = 0; i < outcomes.size(); ++i)
@@ -124,30 +124,30 @@
     inTime += other.inTime;
     costMicroUnits += other.costMicroUnits;
     runs += other.runs;
-    runsMost = std::max(runsMost, other.runsMost);
+    maxRuns = std::max(maxRuns, other.maxRuns);
     bills += other.bills;
-    billsMost = std::max(billsMost, other.billsMost);
-    rerunNonIdempotent += other.rerunNonIdempotent;
+    maxBills = std::max(maxBills, other.maxBills);
+    retriedNonIdempotent += other.retriedNonIdempotent;
 }
 
-std::uint64_t tally::refusedAtOnce() const
+std::uint64_t request_totals::countFastRefusals() const
 {
-    constexpr double kAtOnceMs = 50; // the target for a refusal
+    constexpr double kMaxFastRefusalMs = 50; // latency target for a refusal
     return static_cast<std::uint64_t>(
-        std::ranges::count_if(refusalMs, [](double value) { return value <= kAtOnceMs; }));
+        std::ranges::count_if(refusalMs, [](double value) { return value <= kMaxFastRefusalMs; }));
 }
 
-tally arm_report::total() const
+request_totals arm_report::total() const
 {
-    tally sum;
+    request_totals sum;
     for (const auto &[key, entry] : rows)
         sum.add(entry);
     return sum;
 }
 
-std::map<std::string, tally> arm_report::byWorkload() const
+std::map<std::string, request_totals> arm_report::byWorkload() const
 {
-    std::map<std::string, tally> sums;
+    std::map<std::string, request_totals> sums;
     for (const auto &[key, entry] : rows)
         sums[key.first].add(entry);
     return sums;
@@ -173,8 +173,8 @@
     if (arms.empty())
         return;
     const auto named = std::ranges::find(arms, reference, &arm_report::arm);
-    const auto &compared = named == arms.end() ? arms.front() : *named;
-    const auto base = compared.total();
+    const auto &referenceArm = named == arms.end() ? arms.front() : *named;
+    const auto base = referenceArm.total();
     for (const auto &entry : arms) {
         const auto total = entry.total();
         out << "arm " << entry.arm << " (seed " << entry.seed << ", runs " << entry.repeats << ")\n";
@@ -185,15 +185,15 @@
             out << ' ' << column;
         out << '\n';
         for (const auto &[name, sums] : entry.byWorkload())
-            writeRow(out, name, sums, entry.knowsQuality);
+            writeRow(out, name, sums, entry.hasQualityData);
         if (perAccount) {
             for (const auto &[key, sums] : entry.rows)
-                writeRow(out, key.first + " / " + key.second, sums, entry.knowsQuality);
+                writeRow(out, key.first + " / " + key.second, sums, entry.hasQualityData);
         }
-        writeRow(out, "all", total, entry.knowsQuality);
+        writeRow(out, "all", total, entry.hasQualityData);
         const auto own = ratio(total.costMicroUnits, total.met);
         const auto first = ratio(base.costMicroUnits, base.met);
-        out << "  cost per answer at the target relative to " << compared.arm << ": "
+        out << "  cost per answer at the target relative to " << referenceArm.arm << ": "
             << (first > 0 ? fixed(own / first, 3) : "-") << "; retry amplification " << fixed(entry.amplification(), 3)
             << "; prefix cache hits " << fixed(100 * ratio(entry.cacheHits, entry.cacheHits + entry.cacheMisses), 1)
             << " %\n";
@@ -210,21 +210,21 @@
         nlohmann::json json{{"arm", entry.arm},
                             {"seed", entry.seed},
                             {"repeats", entry.repeats},
-                            {"knows_quality", entry.knowsQuality},
-                            {"total", tallyJson(entry.total())},
+                            {"knows_quality", entry.hasQualityData},
+                            {"total", totalsToJson(entry.total())},
                             {"retry_amplification", entry.amplification()},
                             {"cache_hits", entry.cacheHits},
                             {"cache_misses", entry.cacheMisses},
                             {"rows", nlohmann::json::array()},
                             {"incidents", nlohmann::json::array()}};
         for (const auto &[key, sums] : entry.rows) {
-            auto row = tallyJson(sums);
+            auto row = totalsToJson(sums);
             row["workload"] = key.first;
             row["account"] = key.second;
             json["rows"].push_back(std::move(row));
         }
         for (const auto &item : entry.incidents)
-            json["incidents"].push_back(incidentJson(item));
+            json["incidents"].push_back(incidentToJson(item));
         list.push_back(std::move(json));
     }
     return list;
--- a/tools/load_simulation.cpp
+++ b/tools/load_simulation.cpp
@@ -9,9 +9,10 @@
 namespace
 {
 
-constexpr std::int64_t kUnixStart = 1790000000; ///< wall clock at virtual time 0
-constexpr std::chrono::seconds kSettleTime{900}; ///< after the last arrival, for queued work to end
-constexpr std::chrono::seconds kReportTail{150}; ///< reports go on after the last arrival; longer than any deadline
+constexpr std::int64_t kStartUnixSeconds = 1790000000; ///< wall clock at virtual time 0
+constexpr std::chrono::seconds kDrainTime{900}; ///< after the last arrival, for queued requests to finish
+constexpr std::chrono::seconds kReportTail{
+    150}; ///< load reports continue this long after the last arrival; exceeds any deadline
 constexpr std::chrono::seconds kSharePeriod{1}; ///< of limit shares
 
 } // namespace
@@ -24,7 +25,7 @@
     if (config.tune.sessionKey.empty())
         config.tune.sessionKey = "virtual-time";
     m_config = std::make_shared<const fleet>(config);
-    m_requests = planRequests(m_settings, seed, kUnixStart);
+    m_requests = planRequests(m_settings, seed, kStartUnixSeconds);
     m_states.resize(m_requests.size());
     buildUpstreams();
     buildHosts();
@@ -64,7 +65,7 @@
 {
     for (const auto &event : m_settings.events) {
         const instant at{static_cast<std::int64_t>(event.atSeconds * 1e6)};
-        m_clock.at(at, [this, &event] { perform(event); });
+        m_clock.at(at, [this, &event] { applyEvent(event); });
     }
     for (std::size_t i = 0; i < m_requests.size(); ++i)
         m_clock.at(m_requests[i].at, [this, i] { send(i); });
@@ -120,7 +121,7 @@
         feed(i, upstreams_changed{list});
 }
 
-void simulation::perform(const timed_event &event)
+void simulation::applyEvent(const timed_event &event)
 {
     const auto found = m_upstreamByName.find(event.upstream);
     auto *target = found == m_upstreamByName.end() ? nullptr : found->second;
@@ -167,9 +168,9 @@
 void simulation::send(std::size_t request)
 {
     const auto &planned = m_requests[request];
-    const auto first = hashOf(planned.requestId, m_seed + m_states[request].sendings) % m_hosts.size();
+    const auto first = hashOf(planned.requestId, m_seed + m_states[request].submitCount) % m_hosts.size();
     sendTo(request, first);
-    if (planned.duplicate && m_states[request].sendings == 1)
+    if (planned.duplicate && m_states[request].submitCount == 1)
         sendTo(request, (first + 1) % m_hosts.size());
 }
 
@@ -177,19 +178,19 @@
 {
     const auto &planned = m_requests[request];
     const auto &source = m_settings.workloads[planned.workload];
-    ++m_states[request].sendings;
+    ++m_states[request].submitCount;
     ++m_states[request].open;
-    m_sendings.push_back({.request = request, .host = hostIndex, .at = m_clock.now()});
+    m_submissions.push_back({.request = request, .host = hostIndex, .at = m_clock.now()});
     ++m_hosts[hostIndex]->arrivals[planned.account];
-    caller_request input{.request = request_token{m_sendings.size()},
+    caller_request input{.request = request_token{m_submissions.size()},
                          .apiKey = (*m_config)[m_config->accountByName(planned.account)].apiKey,
                          .requestId = planned.requestId,
                          .sessionId = planned.sessionId,
                          .kind = source.kind,
                          .prompt = makePrompt(source, planned, m_settings.affinity),
                          .maxTokens = 0,
-                         .unixSeconds =
-                             kUnixStart + std::chrono::duration_cast<std::chrono::seconds>(m_clock.now()).count()};
+                         .unixSeconds = kStartUnixSeconds
+                             + std::chrono::duration_cast<std::chrono::seconds>(m_clock.now()).count()};
     if (source.deadlineMs > 0)
         input.deadline = milliseconds{source.deadlineMs};
     const auto token = m_sessionTokens.find(planned.sessionId);
@@ -233,7 +234,7 @@
     const auto kind = m_config->kindByName(source.kind);
     const bool isSafe = answer.outcome == outcome_kind::not_run
         || (answer.outcome == outcome_kind::failed_after_run && (*m_config)[kind].idempotent);
-    return isSafe && state.open == 0 && state.sendings <= source.resends;
+    return isSafe && state.open == 0 && state.submitCount <= source.resends;
 }
 
 bool simulation::isReported(std::size_t request) const
@@ -250,10 +251,10 @@
     auto &row = m_report.rows[{source.name, planned.account}];
     ++row.requests;
     row.runs += state.runs;
-    row.runsMost = std::max(row.runsMost, state.runs);
+    row.maxRuns = std::max(row.maxRuns, state.runs);
     row.bills += state.bills;
-    row.billsMost = std::max(row.billsMost, state.bills);
-    row.rerunNonIdempotent += !kind.idempotent && state.runs > 1 ? 1 : 0;
+    row.maxBills = std::max(row.maxBills, state.bills);
+    row.retriedNonIdempotent += !kind.idempotent && state.runs > 1 ? 1 : 0;
     row.costMicroUnits += state.costMicroUnits;
     row.refusalMs.insert(row.refusalMs.end(), state.refusalMs.begin(), state.refusalMs.end());
     if (!state.best) {
@@ -275,7 +276,7 @@
 
 arm_report simulation::run()
 {
-    m_clock.runUntil(instant{static_cast<std::int64_t>(m_settings.durationSeconds * 1e6)} + kSettleTime);
+    m_clock.runUntil(instant{static_cast<std::int64_t>(m_settings.durationSeconds * 1e6)} + kDrainTime);
     for (std::size_t i = 0; i < m_requests.size(); ++i) {
         if (isReported(i))
             countRequest(i);
--- a/tools/load_simulation.h
+++ b/tools/load_simulation.h
@@ -1,5 +1,5 @@
 // One run of an experiment in virtual time: several routers' decision cores, callers, simulated upstreams, and fakes of
-// the ledger, the rating service and the relay. Equal settings and seeds give equal figures.
+// the ledger, the rating service and the relay. Equal settings and seeds give equal results.
 #pragma once
 
 #include "load_callers.h"
@@ -30,24 +30,24 @@
         std::string name;
         router_core core;
         std::optional<instant> timerAt;
-        std::map<std::string, version_evidence> shared; ///< own results that the relay holds, by version
+        std::map<std::string, version_evidence> shared; ///< this host's results published through the relay, by version
         std::map<std::string, std::uint64_t> arrivals; ///< by account, in the current second
     };
-    /// One sending of a request to one host.
-    struct sending {
+    /// One submission of a request to one host.
+    struct submission {
         std::size_t request = 0; ///< index into m_requests
         std::size_t host = 0;
         instant at{};
-        std::map<std::string, bool> verdicts; ///< by version: its answer meets the target
+        std::map<std::string, bool> verdicts; ///< by version: whether its response meets the target
     };
-    /// What is known of one planned request.
+    /// Progress and result of one planned request.
     struct request_state {
-        std::uint32_t sendings = 0;
+        std::uint32_t submitCount = 0;
         std::uint32_t open = 0;
         std::uint64_t runs = 0;
         std::uint64_t bills = 0;
         std::uint64_t costMicroUnits = 0;
-        std::optional<finish_request> best; ///< a whole answer, otherwise the last outcome
+        std::optional<finish_request> best; ///< the complete response, otherwise the last outcome
         bool met = false;
         instant endedAt{};
         std::vector<double> refusalMs;
@@ -55,7 +55,7 @@
     struct open_attempt {
         std::string upstream;
         std::string version;
-        std::size_t sending = 0;
+        std::size_t submission = 0;
         instant startedAt{};
     };
     struct ledger_entry {
@@ -71,7 +71,7 @@
     void buildHosts();
     void scheduleEvents();
     void scheduleReports();
-    void perform(const timed_event &event);
+    void applyEvent(const timed_event &event);
     void applyVersion(const timed_event &event);
     void publishHostList();
     void publishShares();
@@ -106,7 +106,7 @@
     [[nodiscard]] bool meetsTarget(const planned_request &request, const std::string &version) const;
     void scheduleRelay();
     void runRelay();
-    void noteHalt(std::size_t hostIndex, const std::string &version);
+    void recordHalt(std::size_t hostIndex, const std::string &version);
     void recordResponse(const open_attempt &attempt);
 
     experiment m_settings;
@@ -115,17 +115,18 @@
     std::shared_ptr<const fleet> m_config;
     std::vector<planned_request> m_requests;
     std::vector<request_state> m_states; ///< of m_requests
-    std::vector<sending> m_sendings; ///< index + 1 is the request token
+    std::vector<submission> m_submissions; ///< index + 1 is the request token
     std::vector<std::unique_ptr<host>> m_hosts;
     std::vector<std::unique_ptr<upstream>> m_upstreams;
     std::map<std::string, upstream *> m_upstreamByName;
     std::map<attempt_key, open_attempt> m_attempts;
-    std::map<attempt_key, std::string> m_unrated; ///< versions of answers whose rating may still be asked for
+    std::map<attempt_key, std::string> m_unrated; ///< versions of responses that may still be rated
     std::map<std::pair<std::string, std::string>, ledger_entry> m_ledger; ///< by account and request or session id
     std::map<std::string, std::string> m_sessionTokens; ///< by session
-    std::map<std::pair<std::size_t, std::string>, version_evidence> m_unshared; ///< on its way to the relay
-    std::map<std::string, std::set<std::size_t>> m_haltedOn; ///< hosts that know of a halt, by version
-    std::set<std::string> m_halts; ///< versions whose halt the relay carries
+    std::map<std::pair<std::size_t, std::string>, version_evidence>
+        m_unpublished; ///< results not yet published through the relay
+    std::map<std::string, std::set<std::size_t>> m_haltedOn; ///< hosts that have received a halt, by version
+    std::set<std::string> m_halts; ///< versions whose halt is published through the relay
     std::map<std::string, incident> m_incidents; ///< by version
     bool m_relayScheduled = false;
     bool m_ratingUp = true;
--- a/tools/load_simulation_ports.cpp
+++ b/tools/load_simulation_ports.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-constexpr milliseconds kNetwork{1}; ///< one way between a host and an upstream
-constexpr milliseconds kLeastResend{10}; ///< a caller's own pause where it is told none
-constexpr std::uint32_t kScoreMet = 980; ///< in 1000; above every target
-constexpr std::uint32_t kScoreMissed = 200;
+constexpr milliseconds kNetworkDelay{1}; ///< one-way delay between a host and an upstream
+constexpr milliseconds kMinResendDelay{10}; ///< retry delay of a caller that received no longer one
+constexpr std::uint32_t kPassingScore = 980; ///< permille; above every target
+constexpr std::uint32_t kFailingScore = 200;
 
-/// @returns a number in 0..1 from random bits and a name.
+/// @returns a uniform value in [0, 1) derived from random bits and a name.
 double uniform(std::uint64_t bits, std::string_view name)
 {
     constexpr double kRange = 9007199254740992.0; // 2^53
@@ -31,31 +31,32 @@
     if (found == m_settings.quality.end())
         found = m_settings.quality.find({version, ""});
     const double chance = found == m_settings.quality.end() ? 1 : found->second / 1000.0;
-    const bool isEquallyHard = uniform(request.hardness, "equal") < m_settings.correlation;
-    return uniform(request.hardness, isEquallyHard ? "all" : version) < chance;
+    const bool isSharedDifficulty = uniform(request.difficulty, "equal") < m_settings.correlation;
+    return uniform(request.difficulty, isSharedDifficulty ? "all" : version) < chance;
 }
 
 void simulation::on(std::size_t hostIndex, const start_attempt &action)
 {
     const auto index = static_cast<std::size_t>(action.request) - 1;
-    const auto &planned = m_requests[m_sendings[index].request];
+    const auto &planned = m_requests[m_submissions[index].request];
     const auto &source = m_settings.workloads[planned.workload];
     const attempt_key key{hostIndex, action.attempt};
     m_attempts[key] = {action.upstream, action.version, index, m_clock.now()};
     const auto &group = m_settings.affinity ? std::to_string(planned.prefixGroup) : planned.requestId;
-    upstream_job job{.id = m_hosts[hostIndex]->name + ":" + std::to_string(static_cast<std::uint64_t>(action.attempt)),
-                     .prefix = XXH64(group.data(), group.size(), planned.workload),
-                     .promptTokens = source.promptTokens,
-                     .prefixTokens = source.prefixTokens,
-                     .completionTokens = std::min(source.completionTokens, action.maxTokens),
-                     .priority = action.priority,
-                     .started = [this, request = m_sendings[index].request] { ++m_states[request].runs; },
-                     .done = [this, key] { m_clock.after(kNetwork, [this, key] { endAttempt(key, std::nullopt); }); },
-                     .failed =
-                         [this, key](attempt_failure failure) {
-                             m_clock.after(kNetwork, [this, key, failure] { endAttempt(key, failure); });
-                         }};
-    m_clock.after(kNetwork, [this, key, upstream = action.upstream, job = std::move(job)]() mutable {
+    upstream_job job{
+        .id = m_hosts[hostIndex]->name + ":" + std::to_string(static_cast<std::uint64_t>(action.attempt)),
+        .prefix = XXH64(group.data(), group.size(), planned.workload),
+        .promptTokens = source.promptTokens,
+        .prefixTokens = source.prefixTokens,
+        .completionTokens = std::min(source.completionTokens, action.maxTokens),
+        .priority = action.priority,
+        .started = [this, request = m_submissions[index].request] { ++m_states[request].runs; },
+        .done = [this, key] { m_clock.after(kNetworkDelay, [this, key] { endAttempt(key, std::nullopt); }); },
+        .failed =
+            [this, key](attempt_failure failure) {
+                m_clock.after(kNetworkDelay, [this, key, failure] { endAttempt(key, failure); });
+            }};
+    m_clock.after(kNetworkDelay, [this, key, upstream = action.upstream, job = std::move(job)]() mutable {
         if (m_attempts.contains(key))
             m_upstreamByName.at(upstream)->submit(std::move(job));
     });
@@ -90,7 +91,7 @@
     m_attempts.erase(found);
     if (failure)
         return feed(key.first, attempt_failed{key.second, *failure});
-    auto &entry = m_sendings[attempt.sending];
+    auto &entry = m_submissions[attempt.submission];
     const auto &planned = m_requests[entry.request];
     const auto &source = m_settings.workloads[planned.workload];
     entry.verdicts[attempt.version] = meetsTarget(planned, attempt.version);
@@ -107,12 +108,12 @@
     if (found == m_incidents.end() || found->second.badAtSeconds < 0 || found->second.haltedAtSeconds >= 0)
         return;
     const auto started = std::chrono::duration<double>(attempt.startedAt).count();
-    found->second.answersBeforeHalt += started >= found->second.badAtSeconds ? 1 : 0;
+    found->second.responsesBeforeHalt += started >= found->second.badAtSeconds ? 1 : 0;
 }
 
 void simulation::on(std::size_t /*host*/, const finish_request &action)
 {
-    const auto &entry = m_sendings[static_cast<std::size_t>(action.request) - 1];
+    const auto &entry = m_submissions[static_cast<std::size_t>(action.request) - 1];
     auto &state = m_states[entry.request];
     const auto &planned = m_requests[entry.request];
     const auto &source = m_settings.workloads[planned.workload];
@@ -130,68 +131,68 @@
         state.met = verdict != entry.verdicts.end() && verdict->second;
         const auto bad = m_incidents.find(action.version);
         if (bad != m_incidents.end() && !state.met)
-            ++bad->second.wrongDelivered;
+            ++bad->second.failingDelivered;
         return;
     }
     if (mayResend(state, source, action))
-        m_clock.after(std::max(kLeastResend, action.retryAfter), [this, request = entry.request] { send(request); });
+        m_clock.after(std::max(kMinResendDelay, action.retryAfter), [this, request = entry.request] { send(request); });
 }
 
 void simulation::on(std::size_t hostIndex, const write_claim &action)
 {
     auto &entry = m_ledger[{action.account, action.requestId}];
-    ledger_response reply{.request = action.request, .step = ledger_step::claim, .status = ledger_status::written};
+    ledger_response response{.request = action.request, .step = ledger_step::claim, .status = ledger_status::written};
     if (entry.claimed) {
-        reply.status = entry.billed ? ledger_status::exists_billed : ledger_status::exists_open;
-        reply.answer = entry.answer;
+        response.status = entry.billed ? ledger_status::exists_billed : ledger_status::exists_open;
+        response.answer = entry.answer;
     }
     entry.claimed = true;
-    feedLater(milliseconds{m_settings.ledgerMs}, hostIndex, reply);
+    feedLater(milliseconds{m_settings.ledgerMs}, hostIndex, response);
 }
 
 void simulation::on(std::size_t hostIndex, const write_bill &action)
 {
     auto &entry = m_ledger[{action.account, action.requestId}];
-    auto &state = m_states[m_sendings[static_cast<std::size_t>(action.request) - 1].request];
-    ledger_response reply{.request = action.request, .step = ledger_step::bill, .status = ledger_status::written};
+    auto &state = m_states[m_submissions[static_cast<std::size_t>(action.request) - 1].request];
+    ledger_response response{.request = action.request, .step = ledger_step::bill, .status = ledger_status::written};
     if (entry.billed) {
-        reply.status = ledger_status::exists_billed;
+        response.status = ledger_status::exists_billed;
     } else {
         ++state.bills;
         state.costMicroUnits += action.costMicroUnits;
     }
     entry.billed = true;
     entry.answer = action.answer;
-    feedLater(milliseconds{m_settings.ledgerMs}, hostIndex, reply);
+    feedLater(milliseconds{m_settings.ledgerMs}, hostIndex, response);
 }
 
 void simulation::on(std::size_t hostIndex, const write_pin &action)
 {
     auto &entry = m_ledger[{action.account, "session " + action.sessionId}];
-    ledger_response reply{.request = action.request, .step = ledger_step::pin, .status = ledger_status::written};
+    ledger_response response{.request = action.request, .step = ledger_step::pin, .status = ledger_status::written};
     if (entry.pins.empty())
         entry.pins = action.versions;
     else
-        reply.status = ledger_status::exists_pinned;
-    reply.pins = entry.pins;
-    feedLater(milliseconds{m_settings.ledgerMs}, hostIndex, reply);
+        response.status = ledger_status::exists_pinned;
+    response.pins = entry.pins;
+    feedLater(milliseconds{m_settings.ledgerMs}, hostIndex, response);
 }
 
 void simulation::on(std::size_t hostIndex, const request_rating &action)
 {
-    const auto &entry = m_sendings[static_cast<std::size_t>(action.request) - 1];
-    rating_response reply{.request = action.request, .attempt = action.attempt};
+    const auto &entry = m_submissions[static_cast<std::size_t>(action.request) - 1];
+    rating_response response{.request = action.request, .attempt = action.attempt};
     const auto verdict = entry.verdicts.find(m_unrated[{hostIndex, action.attempt}]);
     m_unrated.erase({hostIndex, action.attempt});
     if (m_ratingUp && verdict != entry.verdicts.end())
-        reply.scorePermille = verdict->second ? kScoreMet : kScoreMissed;
-    feedLater(milliseconds{m_settings.ratingMs}, hostIndex, reply);
+        response.scorePermille = verdict->second ? kPassingScore : kFailingScore;
+    feedLater(milliseconds{m_settings.ratingMs}, hostIndex, response);
 }
 
 void simulation::on(std::size_t /*host*/, const record_event &action)
 {
     const auto index = static_cast<std::size_t>(action.request);
-    const bool counts = index > 0 && isReported(m_sendings[index - 1].request);
+    const bool counts = index > 0 && isReported(m_submissions[index - 1].request);
     if (action.type == "dispatched" && counts)
         ++m_report.firstAttempts;
     if (action.type == "queued" && action.reason.starts_with("retry") && counts) {
@@ -202,7 +203,7 @@
 
 void simulation::on(std::size_t hostIndex, const share_evidence &action)
 {
-    auto &sum = m_unshared[{hostIndex, action.delta.version}];
+    auto &sum = m_unpublished[{hostIndex, action.delta.version}];
     sum.passed += action.delta.passed;
     sum.failed += action.delta.failed;
     sum.dispatched += action.delta.dispatched;
@@ -213,7 +214,7 @@
 void simulation::on(std::size_t hostIndex, const share_halt &action)
 {
     m_halts.insert(action.version);
-    noteHalt(hostIndex, action.version);
+    recordHalt(hostIndex, action.version);
     scheduleRelay();
 }
 
@@ -229,7 +230,7 @@
 
 void simulation::runRelay()
 {
-    for (auto &[key, delta] : std::exchange(m_unshared, {})) {
+    for (auto &[key, delta] : std::exchange(m_unpublished, {})) {
         auto &sum = m_hosts[key.first]->shared[key.second];
         sum.passed += delta.passed;
         sum.failed += delta.failed;
@@ -254,11 +255,11 @@
         update.haltedVersions.assign(m_halts.begin(), m_halts.end());
         feed(i, update);
         for (const auto &version : update.haltedVersions)
-            noteHalt(i, version);
+            recordHalt(i, version);
     }
 }
 
-void simulation::noteHalt(std::size_t hostIndex, const std::string &version)
+void simulation::recordHalt(std::size_t hostIndex, const std::string &version)
 {
     auto &hosts = m_haltedOn[version];
     hosts.insert(hostIndex);
--- a/tools/load_svg.cpp
+++ b/tools/load_svg.cpp
@@ -1,4 +1,4 @@
-// SVG plot of a load run: one panel of bars for each measure, one bar for each arm.
+// SVG plot of a load run: one bar chart per measure, one bar per arm.
 #include "load_report.h"
 
 #include <functional>
@@ -14,7 +14,7 @@
 constexpr int kPanelWidth = 300;
 constexpr int kBarHeight = 18;
 constexpr int kLabelWidth = 150;
-constexpr int kTop = 60;
+constexpr int kTopMargin = 60;
 
 struct panel {
     std::string title;
@@ -48,14 +48,14 @@
 void drawPanel(std::ostream &out, const panel &shown, int left, const std::vector<arm_report> &arms)
 {
     constexpr int kValueWidth = 70;
-    double most = 0;
+    double maxValue = 0;
     for (const auto &entry : arms)
-        most = std::max(most, shown.value(entry));
-    drawText(out, left, kTop - 12, shown.title);
-    int y = kTop;
+        maxValue = std::max(maxValue, shown.value(entry));
+    drawText(out, left, kTopMargin - 12, shown.title);
+    int y = kTopMargin;
     for (const auto &entry : arms) {
         const auto value = shown.value(entry);
-        const auto width = static_cast<int>(share(value, most) * (kPanelWidth - kValueWidth));
+        const auto width = static_cast<int>(share(value, maxValue) * (kPanelWidth - kValueWidth));
         std::ostringstream label;
         label << std::fixed << std::setprecision(1) << value;
         out << "<rect x='" << left << "' y='" << y << "' width='" << width << "' height='" << kBarHeight - 4
@@ -86,12 +86,12 @@
               }},
     };
     const auto width = kLabelWidth + static_cast<int>(panels.size()) * (kPanelWidth + 20);
-    const auto height = kTop + static_cast<int>(arms.size()) * kBarHeight + 20;
+    const auto height = kTopMargin + static_cast<int>(arms.size()) * kBarHeight + 20;
     std::ostringstream out;
     out << "<svg xmlns='http://www.w3.org/2000/svg' width='" << width << "' height='" << height
         << "' font-family='sans-serif' font-size='11'>\n<rect width='100%' height='100%' fill='white'/>\n";
     drawText(out, 10, 22, title);
-    int y = kTop + kBarHeight - 7;
+    int y = kTopMargin + kBarHeight - 7;
     for (const auto &entry : arms) {
         drawText(out, 10, y, entry.arm);
         y += kBarHeight;
--- a/tools/load_upstreams.cpp
+++ b/tools/load_upstreams.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr double kFullLoadSlowdown = 0.5; ///< a token on a full replica takes this part longer than on an idle one
+constexpr double kFullLoadSlowdown = 0.5; ///< relative increase in time per token on a full replica
 
 } // namespace
 
@@ -62,15 +62,15 @@
 
 milliseconds upstream::serviceTime(const upstream_job &job)
 {
-    const bool isCached = job.prefixTokens > 0 && takeCached(job.prefix);
-    const auto computed = job.promptTokens - (isCached ? std::min(job.promptTokens, job.prefixTokens) : 0);
+    const bool isCached = job.prefixTokens > 0 && accessPrefixCache(job.prefix);
+    const auto uncachedTokens = job.promptTokens - (isCached ? std::min(job.promptTokens, job.prefixTokens) : 0);
     const auto load = static_cast<double>(m_running.size()) / std::max(1U, m_settings.slots);
     const auto token = m_settings.tokenMs * (1 + kFullLoadSlowdown * load);
     return milliseconds{
-        static_cast<std::int64_t>(computed * m_settings.prefillMsPer1k / 1000 + job.completionTokens * token)};
+        static_cast<std::int64_t>(uncachedTokens * m_settings.prefillMsPer1k / 1000 + job.completionTokens * token)};
 }
 
-bool upstream::takeCached(std::uint64_t prefix)
+bool upstream::accessPrefixCache(std::uint64_t prefix)
 {
     const auto found = std::ranges::find(m_cache, prefix);
     const bool isCached = found != m_cache.end();
--- a/tools/load_upstreams.h
+++ b/tools/load_upstreams.h
@@ -1,4 +1,4 @@
-// Simulated upstreams in virtual time: slots, a queue by class, token speed, prefix cache, crashes.
+// Simulated upstreams in virtual time: slots, a priority queue by class, token speed, prefix cache, crashes.
 #pragma once
 
 #include "load_experiment.h"
@@ -11,14 +11,14 @@
 namespace foxtaildyke::load
 {
 
-/// Queue of things to do in virtual time. Equal times keep the order in which they were added.
+/// Event queue in virtual time. Events with equal times run in insertion order.
 class virtual_clock
 {
 public:
     void at(instant time, std::function<void()> call);
     void after(milliseconds delay, std::function<void()> call) { at(m_now + delay, std::move(call)); }
 
-    /// Runs everything up to a time.
+    /// Runs all events up to and including a time.
     void runUntil(instant time);
     [[nodiscard]] instant now() const { return m_now; }
     [[nodiscard]] bool isEmpty() const { return m_calls.empty(); }
@@ -37,7 +37,7 @@
     std::uint32_t prefixTokens = 0;
     std::uint32_t completionTokens = 0;
     request_class priority = request_class::standard;
-    std::function<void()> started; ///< it got a slot
+    std::function<void()> started; ///< called when the job gets a slot
     std::function<void()> done;
     std::function<void(attempt_failure)> failed;
 };
@@ -49,7 +49,7 @@
 
     void submit(upstream_job job);
     void cancel(const std::string &id);
-    /// Loses all jobs; further ones are not sent until restart().
+    /// Fails all jobs; further ones are rejected as not sent until restart().
     void crash();
     void restart() { m_up = true; }
     void setState(host_state state) { m_info.state = state; }
@@ -64,17 +64,17 @@
 private:
     void startNext();
     milliseconds serviceTime(const upstream_job &job);
-    bool takeCached(std::uint64_t prefix);
+    bool accessPrefixCache(std::uint64_t prefix);
     void end(const std::string &id, std::uint64_t run);
 
     virtual_clock &m_clock;
     upstream_info m_info;
     pool m_settings;
     bool m_up = true;
-    std::uint64_t m_runs = 0; ///< tells a job that was cancelled from a later one
+    std::uint64_t m_runs = 0; ///< distinguishes a cancelled job from a later one with the same id
     std::map<std::string, std::pair<std::uint64_t, upstream_job>> m_running;
     std::list<upstream_job> m_queue; ///< by class, then by arrival
-    std::list<std::uint64_t> m_cache; ///< prefixes, newest first
+    std::list<std::uint64_t> m_cache; ///< prefixes, most recently used first
     std::uint64_t m_cacheHits = 0;
     std::uint64_t m_cacheMisses = 0;
 };
