--- a/src/attempt_rules_p.h
+++ b/src/attempt_rules_p.h
@@ -44,7 +44,7 @@
 
 enum class next_step : std::uint8_t {
     pass_on, ///< pass the replica's response on to the caller
-    retry, ///< if the retry budget allows it; if not, decide anew with `sends` at its maximum
+    retry, ///< if the retry budget allows it; if not, decide again with `sends` at its maximum
     refuse, ///< 503: the request has not run and never will
     fail, ///< 502: the request may have run
     cut_off, ///< break off the response that has begun
--- a/src/platform_client_p.h
+++ b/src/platform_client_p.h
@@ -38,7 +38,7 @@
     /// Rates a response. @param done receives nullopt if the rating service gave no valid score.
     void rate(const std::string &kind, const std::string &text, rate_done done);
 
-    /// Asks the weight store to prepare the weights of a version.
+    /// Requests that the weight store prepare the weights of a version.
     /// @param done receives error_code::unavailable if the store's rate limit rejected the call.
     void requestWeights(const std::string &model, const std::string &version, weights_done done);
 
--- a/src/relay_p.h
+++ b/src/relay_p.h
@@ -84,14 +84,14 @@
 /// Identifies an incoming call that awaits its response.
 enum class response_token : std::uint64_t {};
 
-/// Asks the owner to call Exchange on a host and to pass the result to relay::handleResponse().
+/// Requests that the owner call Exchange on a host and pass the result to relay::handleResponse().
 struct start_exchange {
     call_token call{};
     std::string host;
     exchange_call request;
     std::chrono::milliseconds timeout{};
 };
-/// Asks the owner to respond to a call that it passed to relay::handleCall().
+/// Requests that the owner respond to a call that it passed to relay::handleCall().
 struct respond_to_exchange {
     response_token call{};
     exchange_response response;
--- a/tests/failure_gateway.cpp
+++ b/tests/failure_gateway.cpp
@@ -248,9 +248,10 @@
 
 TEST_CASE("gateway process: requests are served during each kind of store outage")
 {
-    for (const auto mood : {store_state::refusing, store_state::limiting, store_state::dropping, store_state::silent}) {
+    for (const auto state :
+         {store_state::refusing, store_state::limiting, store_state::dropping, store_state::silent}) {
         single_replica_fixture fixture;
-        fixture.store.setState(mood);
+        fixture.store.setState(state);
         REQUIRE(fixture.waitForLog("store_lost", "servers"));
         CHECK(fixture.sendRequest(onceRequest("id-1")).head.status == 200);
         fixture.store.setState(store_state::serving);
--- a/tests/failure_platform.cpp
+++ b/tests/failure_platform.cpp
@@ -189,7 +189,7 @@
     CHECK(fleet.runsOf(request.requestId) == 1);
 }
 
-// Guards against "not run" for a request that runs on another host: a caller that trusts it submits the request anew.
+// Guards against "not run" for a request that runs on another host: a caller that trusts it submits the request again.
 TEST_CASE("cut: a retry on a host that cannot read the ledger is not refused as not run")
 {
     three_host_deployment fleet;
