--- a/tests/failure_deployment.cpp
+++ b/tests/failure_deployment.cpp
@@ -114,7 +114,7 @@
     if (mkdtemp(pattern.data()) == nullptr)
         throw std::runtime_error("cannot create a temporary directory");
     m_directory = pattern;
-    platformPort = freePort();
+    platformPort = reservePort();
     platform = std::make_unique<child_process>(
         std::vector{binary("standin-platform"), std::string("--listen"), endpoint(platformPort)}, path("platform.log"));
     waitFor([this] { return send({.port = platformPort, .path = "/counts"}).status == 200; });
@@ -128,9 +128,9 @@
         auto router = std::make_unique<router_process>();
         router->name = "h" + std::to_string(i);
         router->failureDomain = "d" + std::to_string(i);
-        router->port = freePort();
-        router->peerPort = freePort();
-        router->adminPort = freePort();
+        router->port = reservePort();
+        router->peerPort = reservePort();
+        router->adminPort = reservePort();
         router->platformLink = std::make_unique<tcp_link>(platformPort);
         base["host " + router->name] = {{"region", "r1"},
                                         {"failure_domain", router->failureDomain},
@@ -160,7 +160,7 @@
 {
     auto upstream = std::make_unique<upstream_process>();
     upstream->name = options.name;
-    upstream->port = freePort();
+    upstream->port = reservePort();
     std::vector<std::string> arguments{binary("standin-upstream"),
                                        "--listen",
                                        endpoint(upstream->port),
--- a/tests/failure_support.cpp
+++ b/tests/failure_support.cpp
@@ -148,16 +148,18 @@
     return true;
 }
 
-std::uint16_t freePort()
+std::uint16_t reservePort()
 {
+    // Stays open until the process ends. Without SO_REUSEADDR here, no other socket could listen on the port.
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    const int isReusable = 1;
     auto address = loopback(0);
     socklen_t size = sizeof address;
-    const bool bound = ::bind(socket, reinterpret_cast<const sockaddr *>(&address), size) == 0
+    const bool isBound = ::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &isReusable, sizeof isReusable) == 0
+        && ::bind(socket, reinterpret_cast<const sockaddr *>(&address), size) == 0
         && ::getsockname(socket, reinterpret_cast<sockaddr *>(&address), &size) == 0;
-    ::close(socket);
-    if (!bound)
-        throw std::runtime_error("cannot allocate a port on 127.0.0.1");
+    if (!isBound)
+        throw std::runtime_error("cannot reserve a port on 127.0.0.1");
     return ntohs(address.sin_port);
 }
 
--- a/tests/failure_support.h
+++ b/tests/failure_support.h
@@ -22,8 +22,9 @@
 /// Polls until the condition holds. @returns false on timeout.
 bool waitFor(const std::function<bool()> &condition, std::chrono::milliseconds timeout = kEventTimeout);
 
-/// @returns a TCP port on 127.0.0.1 without a listener. The port is not reserved: another process can bind it first.
-std::uint16_t freePort();
+/// Reserves a TCP port on 127.0.0.1 until the test process ends: the kernel assigns it to no other socket, while a
+/// program that sets SO_REUSEADDR can listen on it.
+std::uint16_t reservePort();
 
 /// Child process of a test; the destructor kills it.
 class child_process
--- a/tests/gateway_process.cpp
+++ b/tests/gateway_process.cpp
@@ -39,10 +39,10 @@
 } // namespace
 
 gateway_process::gateway_process(const std::string &moreSettings)
-    : callerPort(testing::freePort())
+    : callerPort(testing::reservePort())
     , m_directory(makeDirectory())
-    , m_readinessPort(testing::freePort())
-    , m_metricsPort(testing::freePort())
+    , m_readinessPort(testing::reservePort())
+    , m_metricsPort(testing::reservePort())
 {
     std::signal(SIGPIPE, SIG_IGN);
     writeSettings(moreSettings);
--- a/tests/test_feed_relay.cpp
+++ b/tests/test_feed_relay.cpp
@@ -73,7 +73,7 @@
         });
     }
 
-    http_endpoint address{"127.0.0.1", testing::freePort()};
+    http_endpoint address{"127.0.0.1", testing::reservePort()};
     standin_store store{loop};
     std::unique_ptr<host> relay;
     std::vector<std::unique_ptr<host>> hosts;
