--- a/cmake/core.cmake
+++ b/cmake/core.cmake
@@ -7,7 +7,6 @@
     src/config_holder.cpp
     src/controller_lease.cpp
     src/evidence.cpp
-    src/fleet.cpp
     src/freshness.cpp
     src/ledger.cpp
     src/ledger_codec.cpp
@@ -23,6 +22,7 @@
     src/relay_search.cpp
     src/relay_shared.cpp
     src/rollout.cpp
+    src/router_config.cpp
     src/router_core.cpp
     src/router_core_completion.cpp
     src/router_core_attempts.cpp
--- a/src/acceptance.cpp
+++ b/src/acceptance.cpp
@@ -14,7 +14,7 @@
 
 std::chrono::milliseconds leaseOf(const config_document &document)
 {
-    const auto built = buildFleet(document.layers, document.generation, "");
+    const auto built = buildRouterConfig(document.layers, document.generation, "");
     return built.has_value() ? built.value().tune.freshnessLease : tuning{}.freshnessLease;
 }
 
--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -50,7 +50,7 @@
     return wait + std::chrono::milliseconds{std::uniform_int_distribution<std::int64_t>(1, 100)(m_random)};
 }
 
-admission_decision admission::admit(const fleet &config, account_handle account, instant now)
+admission_decision admission::admit(const router_config &config, account_handle account, instant now)
 {
     const auto &limits = config[account];
     auto &state = m_accounts[limits.name];
--- a/src/admission_p.h
+++ b/src/admission_p.h
@@ -2,7 +2,7 @@
 // estimates for deadline-aware refusal, and the retry budget.
 #pragma once
 
-#include "fleet_p.h"
+#include "router_config_p.h"
 
 #include <array>
 #include <map>
@@ -39,7 +39,7 @@
     explicit admission(std::uint64_t seed = 1);
 
     /// Checks the account's rate and concurrency limits and consumes one unit of each if both allow the request.
-    [[nodiscard]] admission_decision admit(const fleet &config, account_handle account, instant now);
+    [[nodiscard]] admission_decision admit(const router_config &config, account_handle account, instant now);
 
     /// Returns the concurrency unit of an admitted request.
     void release(std::string_view account);
--- a/src/balancer_p.h
+++ b/src/balancer_p.h
@@ -2,7 +2,7 @@
 // state of the replica in the host list.
 #pragma once
 
-#include "fleet_p.h"
+#include "router_config_p.h"
 
 #include <map>
 #include <random>
--- a/src/config_holder.cpp
+++ b/src/config_holder.cpp
@@ -44,12 +44,12 @@
     return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-result<fleet_ptr> buildView(const config_document &document, std::string_view failureDomain)
+result<router_config_ptr> buildView(const config_document &document, std::string_view failureDomain)
 {
-    auto built = buildFleet(document.layers, document.generation, failureDomain);
+    auto built = buildRouterConfig(document.layers, document.generation, failureDomain);
     if (built.has_error())
         return built.error();
-    return std::make_shared<const fleet>(std::move(built.value()));
+    return std::make_shared<const router_config>(std::move(built.value()));
 }
 
 } // namespace
--- a/src/config_holder_p.h
+++ b/src/config_holder_p.h
@@ -23,19 +23,19 @@
     [[nodiscard]] generation_number generation() const { return m_document.generation; }
 
     /// @returns the configuration with the overlay of this host's failure domain; null before the first configuration.
-    [[nodiscard]] const fleet_ptr &view() const { return m_view; }
+    [[nodiscard]] const router_config_ptr &view() const { return m_view; }
 
     /// @returns the configuration without an overlay. Relay members and their order come from it, since they
     /// must be the same on all hosts.
-    [[nodiscard]] const fleet_ptr &base() const { return m_base; }
+    [[nodiscard]] const router_config_ptr &base() const { return m_base; }
 
 private:
     [[nodiscard]] result<bool> adopt(config_document document);
 
     std::string m_failureDomain;
     config_document m_document;
-    fleet_ptr m_view;
-    fleet_ptr m_base;
+    router_config_ptr m_view;
+    router_config_ptr m_base;
 };
 
 } // namespace foxtaildyke
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::vector<config_edit> host_registration::next(const fleet &config, const std::vector<listed_entry> &listed,
+std::vector<config_edit> host_registration::next(const router_config &config, const std::vector<listed_entry> &listed,
                                                  instant now)
 {
     const auto isListed = [&](const std::string &name) {
@@ -113,10 +113,10 @@
 /// number of hosts.
 std::chrono::milliseconds controller::leasePollPeriod() const
 {
-    const auto host = m_fleet.hostByName(m_host);
+    const auto host = m_config.hostByName(m_host);
     const auto rank = host.isValid() ? std::min<std::size_t>(host.index, kMaxPollDoublings) : kMaxPollDoublings;
-    return m_fleet.hosts.empty() ? kMinLeasePollPeriod
-                                 : std::min(kMinLeasePollPeriod * (1 << rank), kMaxLeasePollPeriod);
+    return m_config.hosts.empty() ? kMinLeasePollPeriod
+                                  : std::min(kMinLeasePollPeriod * (1 << rank), kMaxLeasePollPeriod);
 }
 
 void controller::pollStatus()
@@ -162,13 +162,13 @@
 {
     if (document.generation <= m_document.generation)
         return;
-    auto built = buildFleet(document.layers, document.generation, "");
+    auto built = buildRouterConfig(document.layers, document.generation, "");
     if (built.has_error()) {
         emit({"configuration_refused", {}, {}, built.error().field, document.generation});
         return;
     }
     m_document = document;
-    m_fleet = std::move(built.value());
+    m_config = std::move(built.value());
     m_acceptance.recordConfiguration(document);
 }
 
@@ -195,8 +195,8 @@
         return;
     std::vector<config_edit> edits;
     for (const auto &name : m_status->halted) {
-        const auto version = m_fleet.versionByName(name);
-        if (!version.isValid() || m_fleet[version].state > version_state::active)
+        const auto version = m_config.versionByName(name);
+        if (!version.isValid() || m_config[version].state > version_state::active)
             continue;
         edits.push_back({"", "version " + name, "state", std::string(nameOf(version_state::halted))});
         emit({"version_halted", name, {}, "evidence", m_document.generation});
@@ -209,9 +209,9 @@
 /// successive sets intersect.
 void controller::registerHosts()
 {
-    if (!m_fleet.hosts.empty() && !m_acceptance.hasMajority(m_document.generation))
+    if (!m_config.hosts.empty() && !m_acceptance.hasMajority(m_document.generation))
         return;
-    auto edits = m_registration.next(m_fleet, m_entries, m_now);
+    auto edits = m_registration.next(m_config, m_entries, m_now);
     if (edits.empty())
         return;
     emit({edits.front().value ? "host_registered" : "host_removed",
@@ -225,10 +225,10 @@
 
 void controller::orderLoads()
 {
-    for (const auto &version : m_fleet.versions) {
+    for (const auto &version : m_config.versions) {
         if (version.state != version_state::rolling_out)
             continue;
-        const auto &service = m_fleet[version.model].service;
+        const auto &service = m_config[version.model].service;
         for (const auto &upstream : m_upstreams) {
             const bool isLoaded = std::ranges::find(upstream.versions, version.name) != upstream.versions.end();
             if (upstream.service == service && upstream.state == host_state::live && !isLoaded)
@@ -239,7 +239,7 @@
 
 void controller::orderLoad(const upstream_info &target, const version_config &version)
 {
-    const auto &model = m_fleet[version.model];
+    const auto &model = m_config[version.model];
     if (!m_lease.mayAct(m_now) || (!model.checksFencing && !m_lease.mayOrderUnfenced(m_now)))
         return;
     const auto key = target.name + '/' + version.name;
--- a/src/controller_p.h
+++ b/src/controller_p.h
@@ -52,7 +52,7 @@
     static constexpr std::chrono::milliseconds kRemoveAfter{10000};
 
     /// @returns the edits that remove or add one host, or none.
-    [[nodiscard]] std::vector<config_edit> next(const fleet &config, const std::vector<listed_entry> &listed,
+    [[nodiscard]] std::vector<config_edit> next(const router_config &config, const std::vector<listed_entry> &listed,
                                                 instant now);
 
 private:
@@ -145,7 +145,7 @@
     std::uint64_t m_ownChanges = 0; ///< counter for change ids
 
     config_document m_document; ///< newest configuration that this process has read or written
-    fleet m_fleet; ///< built from m_document, without overlay
+    router_config m_config; ///< built from m_document, without overlay
     std::optional<host_status> m_status; ///< nullopt while the router doesn't respond
     bool m_statusIsNew = false; ///< not yet passed to m_acceptance
     bool m_hostsKnown = false; ///< setHosts() was called
--- a/src/evidence.cpp
+++ b/src/evidence.cpp
@@ -158,7 +158,7 @@
         - static_cast<double>(results.passed) * std::log((1 - good) / (1 - bad));
 }
 
-bool evidence_table::isRejected(const fleet &config, version_handle version) const
+bool evidence_table::isRejected(const router_config &config, version_handle version) const
 {
     const std::string_view name = config[version].name;
     auto &test = m_tests[std::string(name)];
@@ -178,7 +178,7 @@
     return test.rejected;
 }
 
-std::uint64_t evidence_table::budgetShare(const fleet &config, version_handle version) const
+std::uint64_t evidence_table::budgetShare(const router_config &config, version_handle version) const
 {
     const std::uint64_t budget = config[version].exposureBudget;
     const auto hosts = std::max<std::uint64_t>(1, config.hosts.size());
@@ -191,7 +191,7 @@
     return budget / hosts + (rank < budget % hosts ? 1 : 0);
 }
 
-bool evidence_table::hasExposureLeft(const fleet &config, version_handle version, instant now) const
+bool evidence_table::hasExposureLeft(const router_config &config, version_handle version, instant now) const
 {
     const auto &settings = config[version];
     const auto *entry = find(settings.name);
--- a/src/evidence_p.h
+++ b/src/evidence_p.h
@@ -2,7 +2,7 @@
 // measured failure rate of its baseline, and the exposure budget of a version that is being rolled out.
 #pragma once
 
-#include "fleet_p.h"
+#include "router_config_p.h"
 
 #include <map>
 #include <vector>
@@ -52,11 +52,11 @@
     /// @returns whether the test rejects the version compared with its baseline, or with its own history if it has no
     /// baseline. Once true, it stays true.
     /// @remarks Scores all results since the last call as one batch, so call it after each result.
-    [[nodiscard]] bool isRejected(const fleet &config, version_handle version) const;
+    [[nodiscard]] bool isRejected(const router_config &config, version_handle version) const;
 
     /// @returns whether one more request may be sent to the version before earlier ones are rated. The number is
     /// limited while the version is rolled out, and while its score is at or above kSuspectScore.
-    [[nodiscard]] bool hasExposureLeft(const fleet &config, version_handle version, instant now) const;
+    [[nodiscard]] bool hasExposureLeft(const router_config &config, version_handle version, instant now) const;
 
     /// @returns failure rate of a version in a stratum over about the last kRateWindow responses, weighted with the
     /// prior.
@@ -95,7 +95,7 @@
     [[nodiscard]] const counts *find(std::string_view key) const;
     [[nodiscard]] double scoreBatch(counts &entry, std::string_view stratum, std::string_view reference,
                                     bool usesOwnHistory) const;
-    [[nodiscard]] std::uint64_t budgetShare(const fleet &config, version_handle version) const;
+    [[nodiscard]] std::uint64_t budgetShare(const router_config &config, version_handle version) const;
 
     std::string m_host;
     std::optional<instant> m_totalsAt; ///< when the last totals of the relay arrived
--- a/src/freshness_p.h
+++ b/src/freshness_p.h
@@ -27,7 +27,7 @@
     freshness(std::string hostName, instant startedAt);
 
     /// Adopts a configuration from the store or a peer.
-    /// @param registeredHosts in the order of fleet::hosts.
+    /// @param registeredHosts in the order of router_config::hosts.
     /// @returns whether it was newer. An older one is ignored: the generation never decreases.
     bool adopt(generation_number generation, std::vector<std::string> registeredHosts, std::chrono::milliseconds lease);
 
--- a/src/ledger_routing.cpp
+++ b/src/ledger_routing.cpp
@@ -291,7 +291,7 @@
     m_impl->m_segments.clear(); // the store may be destroyed before the last callback
 }
 
-void ledger_router::configure(const fleet &config)
+void ledger_router::configure(const router_config &config)
 {
     m_impl->m_hosts.configure(config.hosts);
     m_impl->m_retention = config.tune.ledgerRetention;
--- a/src/ledger_routing_p.h
+++ b/src/ledger_routing_p.h
@@ -52,7 +52,7 @@
     ledger_router(const ledger_router &) = delete;
     ledger_router &operator=(const ledger_router &) = delete;
 
-    void configure(const fleet &config);
+    void configure(const router_config &config);
 
     /// Sends a record to the owner of its segment, or appends it on this host. `done` is called exactly once.
     void route(ledger_record record, append_done done);
--- a/src/ledger_service.cpp
+++ b/src/ledger_service.cpp
@@ -254,7 +254,7 @@
     m_impl->m_closed = true;
 }
 
-void ledger_service::configure(const fleet_ptr &config)
+void ledger_service::configure(const router_config_ptr &config)
 {
     if (config)
         m_impl->m_router.configure(*config);
--- a/src/ledger_service_p.h
+++ b/src/ledger_service_p.h
@@ -54,7 +54,7 @@
 
     /// Applies registered hosts, segment count and retention. The segment count is fixed by the first configuration:
     /// with another count, keys would map to segments that do not have their records.
-    void configure(const fleet_ptr &config);
+    void configure(const router_config_ptr &config);
 
     /// Sets the hosts that are not live; replaces the previous set.
     void setGone(std::set<std::string> hosts);
--- a/src/platform_client_p.h
+++ b/src/platform_client_p.h
@@ -1,8 +1,8 @@
 // Client of the platform's host list, rating service and weight store.
 #pragma once
 
-#include "fleet_p.h"
 #include "http_client_p.h"
+#include "router_config_p.h"
 
 namespace foxtaildyke
 {
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -118,7 +118,7 @@
     return found == m_estimates.end() ? beta_estimate{} : found->second;
 }
 
-cascade_decision cascade_policy::choose(const fleet &config, kind_handle kind,
+cascade_decision cascade_policy::choose(const router_config &config, kind_handle kind,
                                         std::span<const cascade_candidate> candidates,
                                         std::chrono::milliseconds remaining, bool ratingAvailable,
                                         std::uint64_t randomBits) const
--- a/src/policy_p.h
+++ b/src/policy_p.h
@@ -2,7 +2,7 @@
 // the start model with the least expected loss (cost, latency, missed target) within the deadline.
 #pragma once
 
-#include "fleet_p.h"
+#include "router_config_p.h"
 
 #include <map>
 #include <span>
@@ -61,7 +61,7 @@
     /// @param ratingAvailable false while the rating service is unavailable; the strongest candidate is chosen then.
     /// @param randomBits fixed for a request. It is decided on several times while it waits, and new random bits each
     /// time would make it explore more often the longer it waits. 0: no exploration.
-    [[nodiscard]] cascade_decision choose(const fleet &config, kind_handle kind,
+    [[nodiscard]] cascade_decision choose(const router_config &config, kind_handle kind,
                                           std::span<const cascade_candidate> candidates,
                                           std::chrono::milliseconds remaining, bool ratingAvailable,
                                           std::uint64_t randomBits = 0) const;
--- a/src/ports_p.h
+++ b/src/ports_p.h
@@ -20,7 +20,7 @@
     virtual ~port_events() = default;
 
     /// A new configuration is in force on this host.
-    virtual void onConfig(const fleet_ptr &) { }
+    virtual void onConfig(const router_config_ptr &) { }
 
     /// The host list has changed. The argument contains only entry hosts.
     virtual void onEntryHosts(const std::vector<listed_host> &) { }
--- a/src/quarantine_p.h
+++ b/src/quarantine_p.h
@@ -2,7 +2,7 @@
 // fingerprint at the second one.
 #pragma once
 
-#include "fleet_p.h"
+#include "router_config_p.h"
 
 #include <unordered_map>
 
--- a/src/relay_ledger.cpp
+++ b/src/relay_ledger.cpp
@@ -118,7 +118,7 @@
     return m_openRecords == 0 && m_service.uncopiedBills() == 0;
 }
 
-void relay_ledger::onConfig(const fleet_ptr &config)
+void relay_ledger::onConfig(const router_config_ptr &config)
 {
     m_config = config;
     m_service.configure(config);
--- a/src/relay_ledger_p.h
+++ b/src/relay_ledger_p.h
@@ -20,7 +20,7 @@
     void bill(const write_bill &record) override;
     [[nodiscard]] bool isIdle() const override;
 
-    void onConfig(const fleet_ptr &config) override;
+    void onConfig(const router_config_ptr &config) override;
     void onEntryHosts(const std::vector<listed_host> &hosts) override;
     void onDrain() override;
 
@@ -38,7 +38,7 @@
     core_sink m_deliver;
     ledger_service m_service;
     loop_timer m_timer;
-    fleet_ptr m_config;
+    router_config_ptr m_config;
     std::vector<listed_host> m_listedHosts; ///< entry hosts in the platform's host list
     std::size_t m_openRecords = 0; ///< records without a response
 };
--- a/src/relay_p.h
+++ b/src/relay_p.h
@@ -23,7 +23,7 @@
 /// @param index position of the host among the sorted members.
 [[nodiscard]] parent_candidates parentCandidates(std::size_t index, std::size_t fanOut);
 
-/// One bit per registered host, in the order of fleet::hosts.
+/// One bit per registered host, in the order of router_config::hosts.
 using host_bits = std::vector<bool>;
 
 /// Acknowledgements by several hosts of the generation in the message.
@@ -100,7 +100,7 @@
 
 /// The part of the configuration that the relay uses.
 struct relay_members {
-    std::vector<std::string> hosts; ///< registered hosts in the order of fleet::hosts
+    std::vector<std::string> hosts; ///< registered hosts in the order of router_config::hosts
     std::chrono::milliseconds exchangePeriod{500};
     std::chrono::seconds quarantineLifetime{600};
 };
--- a/src/rollout.cpp
+++ b/src/rollout.cpp
@@ -47,7 +47,7 @@
                                               const std::string &version, std::uint32_t share)
 {
     const auto section = "version " + version;
-    const auto built = buildFleet(layers, 0, "");
+    const auto built = buildRouterConfig(layers, 0, "");
     if (built.has_error())
         return built.error();
     const auto handle = built.value().versionByName(version);
--- a/src/fleet.cpp
+++ b/src/router_config.cpp
@@ -1,5 +1,5 @@
 // Lookups by name in one generation of the configuration.
-#include "fleet_p.h"
+#include "router_config_p.h"
 
 namespace foxtaildyke
 {
@@ -19,37 +19,37 @@
 
 } // namespace
 
-account_handle fleet::accountByKey(std::string_view apiKey) const
+account_handle router_config::accountByKey(std::string_view apiKey) const
 {
     return findBy<account_handle>(accounts, &account_config::apiKey, apiKey);
 }
 
-account_handle fleet::accountByName(std::string_view name) const
+account_handle router_config::accountByName(std::string_view name) const
 {
     return findBy<account_handle>(accounts, &account_config::name, name);
 }
 
-model_handle fleet::modelByName(std::string_view name) const
+model_handle router_config::modelByName(std::string_view name) const
 {
     return findBy<model_handle>(models, &model_config::name, name);
 }
 
-version_handle fleet::versionByName(std::string_view name) const
+version_handle router_config::versionByName(std::string_view name) const
 {
     return findBy<version_handle>(versions, &version_config::name, name);
 }
 
-kind_handle fleet::kindByName(std::string_view name) const
+kind_handle router_config::kindByName(std::string_view name) const
 {
     return findBy<kind_handle>(kinds, &kind_config::name, name);
 }
 
-host_handle fleet::hostByName(std::string_view name) const
+host_handle router_config::hostByName(std::string_view name) const
 {
     return findBy<host_handle>(hosts, &host_config::name, name);
 }
 
-bool fleet::isGranted(account_handle account, version_handle version) const
+bool router_config::isGranted(account_handle account, version_handle version) const
 {
     return std::ranges::binary_search(accounts[account.index].grants, version);
 }
--- a/src/fleet_p.h
+++ b/src/router_config_p.h
@@ -86,8 +86,8 @@
 };
 
 /// One generation of the configuration, with the overlay of one failure domain applied.
-/// @remarks Invariant: every valid handle stored in a fleet refers to an entry of the same fleet.
-struct fleet {
+/// @remarks Invariant: every valid handle stored in a router_config refers to an entry of the same object.
+struct router_config {
     generation_number generation = 0;
     std::vector<account_config> accounts;
     std::vector<model_config> models;
@@ -113,7 +113,7 @@
     [[nodiscard]] bool isGranted(account_handle account, version_handle version) const;
 };
 
-using fleet_ptr = std::shared_ptr<const fleet>;
+using router_config_ptr = std::shared_ptr<const router_config>;
 
 /// An upstream as described by the host list and its load reports.
 struct upstream_info {
--- a/src/router_core_p.h
+++ b/src/router_core_p.h
@@ -5,9 +5,9 @@
 #include "admission_p.h"
 #include "balancer_p.h"
 #include "evidence_p.h"
-#include "fleet_p.h"
 #include "policy_p.h"
 #include "quarantine_p.h"
+#include "router_config_p.h"
 #include "session_p.h"
 
 #include <deque>
@@ -90,7 +90,7 @@
     std::optional<std::uint32_t> scorePermille; ///< not set: the rating service did not respond
 };
 struct config_changed {
-    fleet_ptr config;
+    router_config_ptr config;
 };
 struct lease_changed {
     generation_number generation = 0;
--- a/src/router_core_state_p.h
+++ b/src/router_core_state_p.h
@@ -213,7 +213,7 @@
     std::string m_hostName;
     std::mt19937_64 m_random; ///< generates request ids and the random bits of requests
     instant m_now{}; ///< time of the input being handled
-    fleet_ptr m_config; ///< null until the first configuration
+    router_config_ptr m_config; ///< null until the first configuration
     lease_changed m_lease;
     std::optional<instant> m_noLeaseSince; ///< first input without a lease for the generation in force
     bool m_draining = false;
--- a/src/router_task.cpp
+++ b/src/router_task.cpp
@@ -126,7 +126,7 @@
         m_ports.sharing->recordRequest(request->apiKey);
 }
 
-void router_task::onConfig(const fleet_ptr &config)
+void router_task::onConfig(const router_config_ptr &config)
 {
     m_metrics.setGeneration(config->generation);
     notifyPorts([&](port_events &port) { port.onConfig(config); });
--- a/src/router_task_p.h
+++ b/src/router_task_p.h
@@ -60,7 +60,7 @@
 private:
     void handleInput(const core_input &input);
     void recordInput(const core_input &input);
-    void onConfig(const fleet_ptr &config);
+    void onConfig(const router_config_ptr &config);
     void recordAttemptEnd(attempt_token attempt, std::optional<attempt_failure> failure);
 
     void perform(const start_attempt &action);
--- a/src/session_p.h
+++ b/src/session_p.h
@@ -1,7 +1,7 @@
 // Sessions: selects the versions that a new session is pinned to, and signs the token that carries them.
 #pragma once
 
-#include "fleet_p.h"
+#include "router_config_p.h"
 
 #include <vector>
 
@@ -28,14 +28,14 @@
 /// @returns an invalid handle if no version is eligible.
 /// @remarks All hosts with the same generation and the same usable versions choose the same version.
 template <typename predicate>
-[[nodiscard]] version_handle chooseVersion(const fleet &config, model_handle model, account_handle account,
+[[nodiscard]] version_handle chooseVersion(const router_config &config, model_handle model, account_handle account,
                                            std::string_view sessionId, predicate usable);
 
 /// @returns the hash of session and model as a number in 0..999, to be compared with a version's roll-out share.
 [[nodiscard]] std::uint32_t rolloutBucket(std::string_view sessionId, std::string_view model);
 
 template <typename predicate>
-version_handle chooseVersion(const fleet &config, model_handle model, account_handle account,
+version_handle chooseVersion(const router_config &config, model_handle model, account_handle account,
                              std::string_view sessionId, predicate usable)
 {
     const auto &versions = config[model].versions;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -32,7 +32,7 @@
 }
 
 template <typename entry>
-result<void> fillEntry(const ini_document &document, entry &item, const fleet &owner)
+result<void> fillEntry(const ini_document &document, entry &item, const router_config &owner)
 {
     const auto section = sectionOf(item);
     const auto found = document.find(section);
@@ -51,7 +51,7 @@
 }
 
 template <typename entry>
-result<void> fillEntries(const ini_document &document, std::vector<entry> &entries, const fleet &owner)
+result<void> fillEntries(const ini_document &document, std::vector<entry> &entries, const router_config &owner)
 {
     for (auto &item : entries) {
         if (auto filled = fillEntry(document, item, owner); filled.has_error())
@@ -61,7 +61,7 @@
 }
 
 /// Length of the chain of baselines before a version; greater than the number of versions where the chain is a cycle.
-std::size_t baselineDepth(const fleet &built, const version_config &version)
+std::size_t baselineDepth(const router_config &built, const version_config &version)
 {
     std::size_t depth = 0;
     for (auto next = version.baseline; next.isValid() && depth <= built.versions.size(); ++depth)
@@ -71,7 +71,7 @@
 
 /// Lists the versions of each model, oldest first. The sorted document does not keep the order of the text, so the age
 /// is derived from the baselines.
-result<void> linkVersions(fleet &built)
+result<void> linkVersions(router_config &built)
 {
     for (const auto &version : built.versions) {
         const auto isOtherModel = version.baseline.isValid() && built[version.baseline].model != version.model;
@@ -87,7 +87,7 @@
     return success();
 }
 
-result<void> checkRelations(const fleet &built)
+result<void> checkRelations(const router_config &built)
 {
     for (const auto &kind : built.kinds) {
         // Escalation runs a request on another model, so a request that must not run twice can't be escalated.
@@ -104,9 +104,9 @@
     return success();
 }
 
-result<fleet> buildDocument(const ini_document &document, generation_number generation)
+result<router_config> buildDocument(const ini_document &document, generation_number generation)
 {
-    fleet built;
+    router_config built;
     built.generation = generation;
     createEntries(document, built.accounts);
     createEntries(document, built.models);
@@ -147,8 +147,8 @@
     return success();
 }
 
-/// Checks that an overlaid fleet permits nothing that the base does not.
-result<void> compareFleets(const fleet &base, const fleet &overlaid)
+/// Checks that an overlaid configuration permits nothing that the base does not.
+result<void> compareConfigs(const router_config &base, const router_config &overlaid)
 {
     BOOST_OUTCOME_TRYV(compareEntries(base.accounts, overlaid.accounts));
     BOOST_OUTCOME_TRYV(compareEntries(base.models, overlaid.models));
@@ -158,7 +158,8 @@
     return compareEntry(base.tune, overlaid.tune);
 }
 
-result<fleet> applyOverlay(const ini_document &baseDocument, const fleet &base, const ini_document &overlay)
+result<router_config> applyOverlay(const ini_document &baseDocument, const router_config &base,
+                                   const ini_document &overlay)
 {
     BOOST_OUTCOME_TRYV(checkNames(overlay));
     auto merged = baseDocument;
@@ -171,7 +172,7 @@
             merged[section][key] = value;
     }
     BOOST_OUTCOME_TRY(overlaid, buildDocument(merged, base.generation));
-    BOOST_OUTCOME_TRYV(compareFleets(base, overlaid));
+    BOOST_OUTCOME_TRYV(compareConfigs(base, overlaid));
     return std::move(overlaid);
 }
 
@@ -182,7 +183,8 @@
 
 } // namespace
 
-result<fleet> buildFleet(const config_layers &layers, generation_number generation, std::string_view failureDomain)
+result<router_config> buildRouterConfig(const config_layers &layers, generation_number generation,
+                                        std::string_view failureDomain)
 {
     BOOST_OUTCOME_TRYV(checkNames(layers.base));
     BOOST_OUTCOME_TRY(base, buildDocument(layers.base, generation));
@@ -197,11 +199,11 @@
 
 result<void> checkLayers(const config_layers &layers)
 {
-    BOOST_OUTCOME_TRYV(buildFleet(layers, 0, ""));
+    BOOST_OUTCOME_TRYV(buildRouterConfig(layers, 0, ""));
     for (const auto &[failureDomain, overlay] : layers.overlays) {
         if (!isEntryName(failureDomain))
             return error{error_code::unknown_section, failureDomain};
-        BOOST_OUTCOME_TRYV(buildFleet(layers, 0, failureDomain));
+        BOOST_OUTCOME_TRYV(buildRouterConfig(layers, 0, failureDomain));
     }
     return success();
 }
--- a/src/settings_p.h
+++ b/src/settings_p.h
@@ -2,7 +2,7 @@
 // rejects unknown, out-of-range and contradictory settings with a typed error that names the field.
 #pragma once
 
-#include "fleet_p.h"
+#include "router_config_p.h"
 
 #include <map>
 
@@ -53,9 +53,9 @@
 
 /// Checks the base and the overlay of one failure domain, and builds the configuration that results from both.
 /// @param failureDomain name of the overlay to apply; the base alone is used where it does not exist.
-/// @returns the fleet, or the first error with the field as "section/key".
-[[nodiscard]] result<fleet> buildFleet(const config_layers &layers, generation_number generation,
-                                       std::string_view failureDomain);
+/// @returns the configuration, or the first error with the field as "section/key".
+[[nodiscard]] result<router_config> buildRouterConfig(const config_layers &layers, generation_number generation,
+                                                      std::string_view failureDomain);
 
 /// Checks the base and every overlay.
 [[nodiscard]] result<void> checkLayers(const config_layers &layers);
--- a/src/settings_table.cpp
+++ b/src/settings_table.cpp
@@ -37,7 +37,7 @@
     double minimum = 0;
     double maximum = 0;
     std::string_view unit;
-    const fleet &owner;
+    const router_config &owner;
 
     using outcome = std::optional<error_code>;
     static constexpr error_code kOutOfRange = error_code::value_out_of_range;
@@ -291,7 +291,7 @@
 }
 
 template <typename entry>
-result<void> assignKey(const key_row<entry> &row, entry &target, std::string_view text, const fleet &owner)
+result<void> assignKey(const key_row<entry> &row, entry &target, std::string_view text, const router_config &owner)
 {
     const value_reader reader{text, row.minimum, row.maximum, row.unit, owner};
     const auto failure = std::visit([&](auto member) { return reader(fieldOf(target, member)); }, row.field);
@@ -308,12 +308,14 @@
         row.field);
 }
 
-template result<void> assignKey(const key_row<account_config> &, account_config &, std::string_view, const fleet &);
-template result<void> assignKey(const key_row<model_config> &, model_config &, std::string_view, const fleet &);
-template result<void> assignKey(const key_row<version_config> &, version_config &, std::string_view, const fleet &);
-template result<void> assignKey(const key_row<kind_config> &, kind_config &, std::string_view, const fleet &);
-template result<void> assignKey(const key_row<host_config> &, host_config &, std::string_view, const fleet &);
-template result<void> assignKey(const key_row<tuning> &, tuning &, std::string_view, const fleet &);
+template result<void> assignKey(const key_row<account_config> &, account_config &, std::string_view,
+                                const router_config &);
+template result<void> assignKey(const key_row<model_config> &, model_config &, std::string_view, const router_config &);
+template result<void> assignKey(const key_row<version_config> &, version_config &, std::string_view,
+                                const router_config &);
+template result<void> assignKey(const key_row<kind_config> &, kind_config &, std::string_view, const router_config &);
+template result<void> assignKey(const key_row<host_config> &, host_config &, std::string_view, const router_config &);
+template result<void> assignKey(const key_row<tuning> &, tuning &, std::string_view, const router_config &);
 template bool isNarrowing(const key_row<account_config> &, const account_config &, const account_config &);
 template bool isNarrowing(const key_row<model_config> &, const model_config &, const model_config &);
 template bool isNarrowing(const key_row<version_config> &, const version_config &, const version_config &);
--- a/src/settings_table_p.h
+++ b/src/settings_table_p.h
@@ -190,11 +190,11 @@
 /// values.
 [[nodiscard]] result<void> checkNames(const ini_document &document);
 
-/// Parses text into one field of a fleet entry.
-/// @param owner fleet that contains the names of all entries, to resolve references.
+/// Parses text into one field of a configuration entry.
+/// @param owner configuration that contains the names of all entries, to resolve references.
 template <typename entry>
 [[nodiscard]] result<void> assignKey(const key_row<entry> &row, entry &target, std::string_view text,
-                                     const fleet &owner);
+                                     const router_config &owner);
 
 /// @returns whether the overlaid value of a field complies with the overlay rule of the row.
 template <typename entry>
--- a/src/store_ports.cpp
+++ b/src/store_ports.cpp
@@ -73,12 +73,12 @@
     const auto generation = document.value().generation;
     if (m_config && generation <= m_config->generation)
         return generation == m_config->generation;
-    auto built = buildFleet(document.value().layers, generation, m_failureDomain);
+    auto built = buildRouterConfig(document.value().layers, generation, m_failureDomain);
     if (built.has_error()) {
         m_onEvent("config_rejected", built.error().field, generation);
         return false;
     }
-    m_config = std::make_shared<const fleet>(std::move(built.value()));
+    m_config = std::make_shared<const router_config>(std::move(built.value()));
     m_onEvent("config_adopted", "store read", generation);
     m_deliver(config_changed{m_config});
     return true;
--- a/src/store_ports_p.h
+++ b/src/store_ports_p.h
@@ -33,7 +33,7 @@
     core_sink m_deliver;
     event_sink m_onEvent;
     object_version m_version = 0; ///< of the object from which m_config was built
-    fleet_ptr m_config;
+    router_config_ptr m_config;
     bool m_isReading = false;
     loop_timer m_timer;
 };
--- a/tests/core_simulation_p.h
+++ b/tests/core_simulation_p.h
@@ -43,7 +43,7 @@
 class core_simulation
 {
 public:
-    core_simulation(fleet config, const std::vector<upstream_info> &upstreams, std::uint64_t seed = 1);
+    core_simulation(router_config config, const std::vector<upstream_info> &upstreams, std::uint64_t seed = 1);
 
     /// Scripted behavior of the ports. By default all calls succeed.
     std::function<attempt_script(const start_attempt &)> upstream;
@@ -59,7 +59,7 @@
     /// Schedules a script step, for example a change to a fake.
     void call(milliseconds time, std::string title, std::function<void()> step);
     /// Publishes a changed configuration as the next generation, with a lease for it.
-    void configure(milliseconds time, std::function<void(fleet &)> change);
+    void configure(milliseconds time, std::function<void(router_config &)> change);
     /// Submits a request at a time. @returns its token.
     request_token submit(milliseconds time, std::string kind, const std::function<void(caller_request &)> &change = {});
 
@@ -69,7 +69,7 @@
     [[nodiscard]] std::string transcript() const { return m_transcript.str(); }
     [[nodiscard]] instant now() const { return m_now; }
     [[nodiscard]] std::size_t openRequests() const { return m_core.openRequests(); }
-    [[nodiscard]] const fleet &config() const { return m_config; }
+    [[nodiscard]] const router_config &config() const { return m_config; }
     [[nodiscard]] const std::vector<finish_request> &responses(request_token request) { return m_responses[request]; }
 
     static constexpr std::int64_t kUnixStart = 1790000000; ///< wall clock at virtual time 0
@@ -87,7 +87,7 @@
     void respond(milliseconds delay, const core_input &input);
     void line(std::string_view mark, const std::string &text);
 
-    fleet m_config;
+    router_config m_config;
     router_core m_core;
     instant m_now{};
     std::multimap<instant, step> m_queue; ///< entries with equal times keep their insertion order
@@ -99,8 +99,8 @@
 };
 
 /// Configurations and host lists of the two deployments in section 1.3 of docs/design.md.
-[[nodiscard]] fleet linShou();
-[[nodiscard]] fleet sollecitiPadani();
+[[nodiscard]] router_config linShou();
+[[nodiscard]] router_config sollecitiPadani();
 [[nodiscard]] std::vector<upstream_info> linShouUpstreams();
 [[nodiscard]] std::vector<upstream_info> sollecitiPadaniUpstreams();
 
--- a/tests/measure_ledger.cpp
+++ b/tests/measure_ledger.cpp
@@ -72,9 +72,9 @@
     });
 }
 
-fleet_ptr makeFleet(const std::vector<std::string> &names)
+router_config_ptr makeConfig(const std::vector<std::string> &names)
 {
-    auto config = std::make_shared<fleet>();
+    auto config = std::make_shared<router_config>();
     for (std::size_t i = 0; i < names.size(); ++i)
         config->hosts.push_back({names[i], "taipei", "domain" + std::to_string(i % 3)});
     return config;
@@ -93,7 +93,7 @@
         hosts[names.back()] = std::make_unique<measured_host>(sim, store, faults, names.back(), hosts);
     }
     for (auto &[name, host] : hosts)
-        host->service.configure(makeFleet(routed ? names : std::vector{name}));
+        host->service.configure(makeConfig(routed ? names : std::vector{name}));
     sim.runUntil(1s);
     store.reads = 0;
 
--- a/tests/relay_bus.cpp
+++ b/tests/relay_bus.cpp
@@ -14,7 +14,7 @@
 constexpr std::chrono::milliseconds kFallbackReadPeriod{1000};
 constexpr std::chrono::milliseconds kMaxTimerDelay{50};
 
-/// Approximate size of a change, which sets a few keys. Real fleet documents are not needed here.
+/// Approximate size of a change, which sets a few keys. Real configuration documents are not needed here.
 constexpr std::size_t kChangeBytes = 200;
 constexpr std::size_t kDocumentBytes = 40000;
 
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -13,9 +13,9 @@
 
 constexpr account_handle kAccount{0};
 
-fleet accountFleet(std::size_t hosts, double rate, std::uint32_t burst, std::uint32_t concurrency = 1000)
+router_config configWithAccount(std::size_t hosts, double rate, std::uint32_t burst, std::uint32_t concurrency = 1000)
 {
-    fleet config;
+    router_config config;
     config.accounts.push_back(
         {.name = "studio", .requestsPerSecond = rate, .burst = burst, .concurrency = concurrency});
     for (std::size_t i = 0; i < hosts; ++i)
@@ -33,7 +33,7 @@
 TEST_CASE("admission limits the rate over all hosts")
 {
     // If each host allowed the whole limit, the account would get it once per host.
-    const auto config = accountFleet(4, 100, 8);
+    const auto config = configWithAccount(4, 100, 8);
     int admitted = 0;
     for (int host = 0; host < 4; ++host) {
         admission gate;
@@ -57,7 +57,7 @@
     CHECK(limitShare(0, 100, 3) > 0);
     CHECK(limitShare(0, 0, 4) == doctest::Approx(0.25));
     admission gate;
-    const auto config = accountFleet(3, 100, 10);
+    const auto config = configWithAccount(3, 100, 10);
     (void)gate.admit(config, kAccount, 0s);
     const auto arrivals = gate.takeArrivals();
     REQUIRE(arrivals.size() == 1);
@@ -67,7 +67,7 @@
 
 TEST_CASE("admission limits concurrency and frees it on release")
 {
-    const auto config = accountFleet(1, 1000, 1000, 2);
+    const auto config = configWithAccount(1, 1000, 1000, 2);
     admission gate;
     CHECK(gate.admit(config, kAccount, 0s).reason == reason_code::none);
     CHECK(gate.admit(config, kAccount, 0s).reason == reason_code::none);
@@ -79,7 +79,7 @@
 TEST_CASE("refused callers get different retry times")
 {
     // With equal Retry-After values all refused callers would retry at the same time.
-    const auto config = accountFleet(1, 10, 1);
+    const auto config = configWithAccount(1, 10, 1);
     admission gate(3);
     (void)gate.admit(config, kAccount, 0s);
     std::set<std::chrono::milliseconds> waits;
--- a/tests/test_controller.cpp
+++ b/tests/test_controller.cpp
@@ -331,7 +331,7 @@
 TEST_CASE("a host is removed only after it has been missing from the host list for a while, and never by an empty list")
 {
     host_registration registration;
-    const auto config = buildFleet(controlLayers(3), 1, "").value();
+    const auto config = buildRouterConfig(controlLayers(3), 1, "").value();
     CHECK(registration.next(config, {}, milliseconds(0)).empty());
     CHECK(registration.next(config, {}, milliseconds(60000)).empty());
     const auto two = entriesOf(hostNames(1, 2));
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -205,7 +205,7 @@
 public:
     explicit random_run(std::uint64_t seed)
         : m_random(seed)
-        , m_simulation(makeFleet(), makeUpstreams(), seed)
+        , m_simulation(makeConfig(), makeUpstreams(), seed)
         , m_checker(m_simulation)
     {
         scriptPorts();
@@ -226,7 +226,7 @@
     [[nodiscard]] std::string transcript() const { return m_simulation.transcript(); }
 
 private:
-    [[nodiscard]] static fleet makeFleet();
+    [[nodiscard]] static router_config makeConfig();
     [[nodiscard]] static std::vector<upstream_info> makeUpstreams();
     [[nodiscard]] std::uint64_t below(std::uint64_t limit) { return m_random() % limit; }
     [[nodiscard]] bool chance(unsigned percent) { return below(100) < percent; }
@@ -243,7 +243,7 @@
     rule_checker m_checker;
 };
 
-fleet random_run::makeFleet()
+router_config random_run::makeConfig()
 {
     auto config = linShou();
     const auto add = [&](std::string name, std::string_view model, version_state state) {
@@ -336,14 +336,14 @@
         const auto version = below(6);
         const auto state = static_cast<version_state>(below(4));
         const auto time = randomTime();
-        m_simulation.configure(time, [version, state](fleet &config) {
+        m_simulation.configure(time, [version, state](router_config &config) {
             auto &entry = config.versions[version];
             if (entry.state != version_state::withdrawn)
                 entry.state = state;
         });
     }
     if (chance(40)) {
-        m_simulation.configure(randomTime(), [this](fleet &config) {
+        m_simulation.configure(randomTime(), [this](router_config &config) {
             auto &grants = config.accounts[0].grants;
             grants.erase(grants.begin() + static_cast<std::ptrdiff_t>(below(grants.size())));
         });
--- a/tests/test_core_simulation.cpp
+++ b/tests/test_core_simulation.cpp
@@ -38,12 +38,12 @@
     return {action.request, ledger_step::pin, status, {}, record.pins};
 }
 
-core_simulation::core_simulation(fleet config, const std::vector<upstream_info> &upstreams, std::uint64_t seed)
+core_simulation::core_simulation(router_config config, const std::vector<upstream_info> &upstreams, std::uint64_t seed)
     : m_config(std::move(config))
     , m_core("host-1", "datong-hall", seed)
 {
     m_config.generation = 1;
-    at(milliseconds{0}, config_changed{std::make_shared<const fleet>(m_config)});
+    at(milliseconds{0}, config_changed{std::make_shared<const router_config>(m_config)});
     at(milliseconds{0}, lease_changed{1, std::chrono::hours{1}});
     at(milliseconds{0}, upstreams_changed{upstreams});
 }
@@ -58,12 +58,12 @@
     push(time, {.title = std::move(title), .call = std::move(step)});
 }
 
-void core_simulation::configure(milliseconds time, std::function<void(fleet &)> change)
+void core_simulation::configure(milliseconds time, std::function<void(router_config &)> change)
 {
     call(time, "", [this, change = std::move(change)] {
         change(m_config);
         ++m_config.generation;
-        feed(config_changed{std::make_shared<const fleet>(m_config)}, false);
+        feed(config_changed{std::make_shared<const router_config>(m_config)}, false);
         feed(lease_changed{m_config.generation, std::chrono::hours{1}}, false);
     });
 }
--- a/tests/test_evidence.cpp
+++ b/tests/test_evidence.cpp
@@ -13,9 +13,9 @@
 constexpr version_handle kOld{0};
 constexpr version_handle kNew{1};
 
-fleet rolloutFleet(std::size_t hosts)
+router_config configWithRollout(std::size_t hosts)
 {
-    fleet config;
+    router_config config;
     config.models.push_back({.name = "swift", .service = "pool"});
     config.versions.push_back({.name = "swift-1", .model = model_handle{0}});
     config.versions.push_back({.name = "swift-2",
@@ -34,8 +34,8 @@
 };
 
 /// Records rated responses until the version is rejected. @returns the number of responses, at most `limit`.
-int responsesUntilRejected(evidence_table &table, const fleet &config, rating_source &source, double failureRate,
-                           int limit)
+int responsesUntilRejected(evidence_table &table, const router_config &config, rating_source &source,
+                           double failureRate, int limit)
 {
     for (int i = 0; i < limit; ++i) {
         table.recordResult("swift-2", source.passes(failureRate));
@@ -58,7 +58,7 @@
 TEST_CASE("evidence rejects a bad version within 20 responses on average, early and late")
 {
     // Guards against a score that good responses of the past keep low.
-    const auto config = rolloutFleet(9);
+    const auto config = configWithRollout(9);
     for (const int goodBefore : {0, 1000}) {
         rating_source source{std::mt19937_64{11}};
         int sum = 0;
@@ -76,7 +76,7 @@
 TEST_CASE("evidence halts at most 3 in 1000 roll-outs of a good version")
 {
     // A roll-out consists of 2000 rated responses at the baseline's failure rate.
-    const auto config = rolloutFleet(9);
+    const auto config = configWithRollout(9);
     rating_source source{std::mt19937_64{12}};
     int halts = 0;
     for (int run = 0; run < 1000; ++run) {
@@ -89,7 +89,7 @@
 TEST_CASE("evidence compares with the measured rate of the baseline")
 {
     // With a constant reference rate, a version that is as weak as its baseline would be halted.
-    const auto config = rolloutFleet(1);
+    const auto config = configWithRollout(1);
     rating_source source{std::mt19937_64{13}};
     auto table = withBaseline(source, 0.25);
     CHECK(responsesUntilRejected(table, config, source, 0.25, 300) == 300);
@@ -100,7 +100,7 @@
 {
     // Otherwise a cascade that starts to send a strong model only the requests that weaker ones failed, or a burst of
     // harder requests, would halt a good version.
-    const auto config = rolloutFleet(1);
+    const auto config = configWithRollout(1);
     rating_source source{std::mt19937_64{14}};
     evidence_table table;
     const auto record = [&](std::string_view version, std::string_view stratum, double rate, int responses) {
@@ -124,7 +124,7 @@
 {
     // The first version of a cheap model fails many requests by design. It must be allowed to serve, but be rejected if
     // its failure rate rises.
-    const auto config = rolloutFleet(1);
+    const auto config = configWithRollout(1);
     rating_source source{std::mt19937_64{15}};
     evidence_table table;
     for (int i = 0; i < 1000; ++i) {
@@ -140,7 +140,7 @@
 TEST_CASE("evidence of several hosts counts each result once")
 {
     // The relay's totals include this host's own deltas; counted twice, they would halve the evidence needed.
-    const auto config = rolloutFleet(2);
+    const auto config = configWithRollout(2);
     evidence_table one("h0");
     evidence_table all("h0");
     one.recordResult("swift-2", false);
@@ -159,7 +159,7 @@
 
 TEST_CASE("evidence keeps a rejection, and treats smaller totals of a restarted relay as a new base")
 {
-    const auto config = rolloutFleet(2);
+    const auto config = configWithRollout(2);
     evidence_table table("h0");
     table.setTotals({{"swift-2", 0, 12, 12, 12}}, instant{1});
     CHECK(table.isRejected(config, kNew));
@@ -176,7 +176,7 @@
 TEST_CASE("the exposure budget of all hosts is kept without the relay")
 {
     // If each disconnected host used the whole budget, callers would be exposed to it once per host.
-    const auto config = rolloutFleet(9);
+    const auto config = configWithRollout(9);
     std::uint32_t exposed = 0;
     for (const auto &host : config.hosts) {
         evidence_table table(host.name);
@@ -190,7 +190,7 @@
 
 TEST_CASE("a host borrows exposure that the others leave unused, until the relay is lost")
 {
-    const auto config = rolloutFleet(4);
+    const auto config = configWithRollout(4);
     evidence_table table("h0");
     const auto dispatchAttempts = [&](instant now) {
         int count = 0;
@@ -208,7 +208,7 @@
 TEST_CASE("a suspected version is limited to its exposure budget before it is rejected")
 {
     // Without this limit an active version that turns bad would serve at its full rate until the test rejects it.
-    auto config = rolloutFleet(1);
+    auto config = configWithRollout(1);
     config.versions[1].state = version_state::active;
     evidence_table table("h0");
     for (int i = 0; i < 20; ++i)
--- a/tests/test_fleets.cpp
+++ b/tests/test_fleets.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-model_handle addModel(fleet &config, std::string name, std::string service, std::uint32_t price)
+model_handle addModel(router_config &config, std::string name, std::string service, std::uint32_t price)
 {
     const model_handle handle{static_cast<std::uint16_t>(config.models.size())};
     config.models.push_back({.name = std::move(name),
@@ -17,7 +17,7 @@
     return handle;
 }
 
-void addVersion(fleet &config, model_handle model, std::string name)
+void addVersion(router_config &config, model_handle model, std::string name)
 {
     const version_handle handle{static_cast<std::uint16_t>(config.versions.size())};
     const auto &versions = config.models[model.index].versions;
@@ -26,7 +26,7 @@
     config.models[model.index].versions.push_back(handle);
 }
 
-void addKind(fleet &config, std::string name, request_class priority, bool idempotent,
+void addKind(router_config &config, std::string name, request_class priority, bool idempotent,
              const std::vector<model_handle> &cascade, milliseconds deadline)
 {
     config.kinds.push_back({.name = std::move(name),
@@ -37,7 +37,7 @@
                             .deadline = deadline});
 }
 
-void addAccount(fleet &config, const std::string &name)
+void addAccount(router_config &config, const std::string &name)
 {
     account_config account{
         .name = name, .apiKey = "key-" + name, .requestsPerSecond = 100, .burst = 50, .concurrency = 50};
@@ -59,9 +59,9 @@
 
 } // namespace
 
-fleet linShou()
+router_config linShou()
 {
-    fleet config;
+    router_config config;
     const auto brush = addModel(config, "brush", "drafting-models", 100);
     const auto scroll = addModel(config, "scroll", "drafting-models", 1000);
     const auto desk = addModel(config, "clerk-desk", "clerk-desk", 10);
@@ -87,9 +87,9 @@
             replica("desk-2", "clerk-desk", {"clerk-desk-1"}, "zhongshan-hall")};
 }
 
-fleet sollecitiPadani()
+router_config sollecitiPadani()
 {
-    fleet config;
+    router_config config;
     const auto volpe = addModel(config, "volpe", "foxtail-modelli", 100);
     const auto lince = addModel(config, "lince", "foxtail-modelli", 1000);
     const auto counter = addModel(config, "sportello", "sportello-crediti", 10);
--- a/tests/test_golden_operation.cpp
+++ b/tests/test_golden_operation.cpp
@@ -12,7 +12,7 @@
 {
 
 /// Adds a second version of the brush model and grants it to all client accounts.
-void addBrush2(fleet &config, version_state state)
+void addBrush2(router_config &config, version_state state)
 {
     const version_handle handle{static_cast<std::uint16_t>(config.versions.size())};
     const auto brush = config.modelByName("brush");
@@ -39,7 +39,7 @@
 }
 
 /// Restricts all cascades to their first model, so that model selection does not mask version selection.
-fleet onlyBrush()
+router_config onlyBrush()
 {
     auto config = linShou();
     for (auto &kind : config.kinds) {
@@ -49,7 +49,7 @@
     return config;
 }
 
-void setState(fleet &config, std::string_view version, version_state state)
+void setState(router_config &config, std::string_view version, version_state state)
 {
     config.versions[config.versionByName(version).index].state = state;
 }
@@ -63,11 +63,11 @@
         return simulation.submit(time, "page-tag", [&](caller_request &request) { request.sessionId = session; });
     };
     const auto before = submitInSession(10ms, "a");
-    simulation.configure(200ms, [](fleet &config) { addBrush2(config, version_state::rolling_out); });
+    simulation.configure(200ms, [](router_config &config) { addBrush2(config, version_state::rolling_out); });
     std::vector<request_token> requests{submitInSession(300ms, "a"), submitInSession(500ms, "b"),
                                         submitInSession(700ms, "c"), submitInSession(900ms, "d"),
                                         submitInSession(1100ms, "c")};
-    simulation.configure(1300ms, [](fleet &config) { setState(config, "brush-2", version_state::active); });
+    simulation.configure(1300ms, [](router_config &config) { setState(config, "brush-2", version_state::active); });
     requests.push_back(submitInSession(1400ms, "a"));
     requests.push_back(submitInSession(1600ms, "e"));
     simulation.run(5s);
@@ -118,7 +118,7 @@
     const auto before = submitInSession(10ms);
     const auto during = submitInSession(350ms);
     const auto alone = simulation.submit(360ms, "page-tag");
-    simulation.configure(400ms, [](fleet &next) { setState(next, "brush-2", version_state::withdrawn); });
+    simulation.configure(400ms, [](router_config &next) { setState(next, "brush-2", version_state::withdrawn); });
     const auto after = submitInSession(500ms);
     const auto fresh = simulation.submit(600ms, "page-tag");
     simulation.run(6s);
--- a/tests/test_ledger_service.cpp
+++ b/tests/test_ledger_service.cpp
@@ -16,9 +16,9 @@
 
 constexpr std::int64_t kUnixSeconds = 1'900'000'000;
 
-fleet_ptr makeFleet(std::size_t hosts)
+router_config_ptr makeConfig(std::size_t hosts)
 {
-    auto config = std::make_shared<fleet>();
+    auto config = std::make_shared<router_config>();
     config->generation = 1;
     config->tune.ledgerSegments = 2;
     for (std::size_t i = 0; i < hosts; ++i)
@@ -160,7 +160,7 @@
             hosts[name] = std::make_unique<ledger_host>(sim, store, faults, name, hosts, lossPermille);
         }
         for (auto &[name, host] : hosts)
-            host->service.configure(makeFleet(count));
+            host->service.configure(makeConfig(count));
     }
 
     ledger_host &host(std::size_t number) { return *hosts.at("host" + std::to_string(number)); }
--- a/tests/test_policy.cpp
+++ b/tests/test_policy.cpp
@@ -13,9 +13,9 @@
 
 constexpr kind_handle kKind{0};
 
-fleet cascadeFleet(objective_weights weights = {})
+router_config configWithCascade(objective_weights weights = {})
 {
-    fleet config;
+    router_config config;
     config.versions = {{.name = "cheap-1"}, {.name = "strong-1"}};
     config.kinds.push_back({.name = "page-tag"});
     config.tune.weights = weights;
@@ -32,7 +32,7 @@
 }
 
 /// @returns the number of decisions out of 1000 that start with the cheap model.
-int cheapStarts(const cascade_policy &policy, const fleet &config)
+int cheapStarts(const cascade_policy &policy, const router_config &config)
 {
     int cheap = 0;
     for (std::uint64_t i = 1; i <= 1000; ++i)
@@ -44,7 +44,7 @@
 
 TEST_CASE("policy starts cheap where the cheap model mostly meets the target")
 {
-    const auto config = cascadeFleet();
+    const auto config = configWithCascade();
     cascade_policy good;
     learnMany(good, "cheap-1", 160, 40);
     learnMany(good, "strong-1", 190, 10);
@@ -61,10 +61,10 @@
     cascade_policy policy;
     learnMany(policy, "cheap-1", 60, 140);
     learnMany(policy, "strong-1", 196, 4);
-    CHECK(cheapStarts(policy, cascadeFleet({.cost = 3, .latency = 0.5, .exposure = 1})) >= 900);
+    CHECK(cheapStarts(policy, configWithCascade({.cost = 3, .latency = 0.5, .exposure = 1})) >= 900);
     constexpr std::array kSlowCheap{cascade_candidate{version_handle{0}, 100, 900ms},
                                     cascade_candidate{version_handle{1}, 1000, 1000ms}};
-    const auto config = cascadeFleet({.cost = 0.5, .latency = 3, .exposure = 1});
+    const auto config = configWithCascade({.cost = 0.5, .latency = 3, .exposure = 1});
     int cheap = 0;
     for (std::uint64_t i = 1; i <= 1000; ++i)
         cheap += policy.choose(config, kKind, kSlowCheap, 10s, true, i).start == 0 ? 1 : 0;
@@ -74,7 +74,7 @@
 TEST_CASE("policy chooses the strongest model without ratings, or if the deadline allows no second attempt")
 {
     // An unrated response of the cheap model would reach the caller even if it is wrong.
-    const auto config = cascadeFleet();
+    const auto config = configWithCascade();
     cascade_policy policy;
     learnMany(policy, "cheap-1", 199, 1);
     CHECK(policy.choose(config, kKind, kCandidates, 10s, false).start == 1);
@@ -95,7 +95,7 @@
 
 TEST_CASE("policy explores a small share of requests, and returns to a version that recovered")
 {
-    const auto config = cascadeFleet();
+    const auto config = configWithCascade();
     cascade_policy policy;
     learnMany(policy, "cheap-1", 20, 180);
     learnMany(policy, "strong-1", 5000, 100);
@@ -124,7 +124,7 @@
 TEST_CASE("policy makes the same decision each time for one request")
 {
     // A waiting request is decided on several times; new random bits each time would eventually make it explore.
-    const auto config = cascadeFleet();
+    const auto config = configWithCascade();
     cascade_policy policy;
     learnMany(policy, "cheap-1", 20, 80);
     for (std::uint64_t draw = 0; draw < 500; ++draw) {
--- a/tests/test_settings.cpp
+++ b/tests/test_settings.cpp
@@ -96,27 +96,27 @@
 
 TEST_CASE("the typed view holds values, references and defaults of the text")
 {
-    const auto built = buildFleet(makeLayers(), 7, "east");
+    const auto built = buildRouterConfig(makeLayers(), 7, "east");
     REQUIRE(built.has_value());
-    const auto &fleet = built.value();
-    CHECK(fleet.generation == 7);
-    const auto ada = fleet.accountByName("ada");
-    CHECK(fleet[ada].burst == 20);
-    CHECK(fleet.isGranted(ada, fleet.versionByName("large-1")));
-    CHECK(fleet.isGranted(ada, fleet.versionByName("small-1")));
-    CHECK_FALSE(fleet.isGranted(ada, fleet.versionByName("small-2")));
-    CHECK(fleet[fleet.versionByName("small-2")].baseline == fleet.versionByName("small-1"));
-    CHECK(fleet[fleet.kindByName("ask")].deadline == std::chrono::milliseconds(1000));
-    CHECK(fleet[fleet.kindByName("once")].maxTokens == 1024);
-    CHECK(fleet.tune.exchangePeriod == std::chrono::milliseconds(500));
+    const auto &config = built.value();
+    CHECK(config.generation == 7);
+    const auto ada = config.accountByName("ada");
+    CHECK(config[ada].burst == 20);
+    CHECK(config.isGranted(ada, config.versionByName("large-1")));
+    CHECK(config.isGranted(ada, config.versionByName("small-1")));
+    CHECK_FALSE(config.isGranted(ada, config.versionByName("small-2")));
+    CHECK(config[config.versionByName("small-2")].baseline == config.versionByName("small-1"));
+    CHECK(config[config.kindByName("ask")].deadline == std::chrono::milliseconds(1000));
+    CHECK(config[config.kindByName("once")].maxTokens == 1024);
+    CHECK(config.tune.exchangePeriod == std::chrono::milliseconds(500));
 }
 
 TEST_CASE("versions of a model are listed oldest first, by their baselines")
 {
-    const auto fleet = buildFleet(makeLayers(), 1, "").value();
-    const auto &versions = fleet[fleet.modelByName("small")].versions;
+    const auto config = buildRouterConfig(makeLayers(), 1, "").value();
+    const auto &versions = config[config.modelByName("small")].versions;
     REQUIRE(versions.size() == 3);
-    CHECK(fleet[versions.back()].name == "small-2");
+    CHECK(config[versions.back()].name == "small-2");
 }
 
 TEST_CASE("text that is not INI gives the line")
@@ -218,11 +218,11 @@
 {
     const auto layers = makeLayers("[account ada]\nrequests_per_second = 5\ngrants = large\n[version small-2]\n"
                                    "state = halted\n[kind ask]\ncascade = large\n[tuning]\nweight_cost = 9\n");
-    const auto built = buildFleet(layers, 1, "east");
+    const auto built = buildRouterConfig(layers, 1, "east");
     REQUIRE(built.has_value());
     CHECK(built.value().accounts[0].requestsPerSecond == doctest::Approx(5));
     CHECK(built.value()[built.value().versionByName("small-2")].state == version_state::halted);
-    CHECK(buildFleet(layers, 1, "west").value().accounts[0].requestsPerSecond == doctest::Approx(10));
+    CHECK(buildRouterConfig(layers, 1, "west").value().accounts[0].requestsPerSecond == doctest::Approx(10));
 }
 
 TEST_CASE("an overlay that grants, reinstates or raises is refused")
@@ -271,8 +271,8 @@
         const auto applied = applyEdits(layers, {{"", "version small-2", "state", std::string(nameOf(state))}});
         REQUIRE(applied.has_value());
         CHECK(checkLayers(applied.value()).has_value());
-        const auto fleet = buildFleet(applied.value(), 1, "east").value();
-        CHECK(fleet[fleet.versionByName("small-2")].state == state);
+        const auto config = buildRouterConfig(applied.value(), 1, "east").value();
+        CHECK(config[config.versionByName("small-2")].state == state);
     }
 }
 
@@ -401,10 +401,10 @@
             layers.overlays[name] = parseIni(readExample(deployment, name)).value();
         const auto checked = checkLayers(layers);
         CHECK_MESSAGE(checked.has_value(), (checked.has_error() ? checked.error().field : ""));
-        const auto fleet = buildFleet(layers, 1, failureDomains.front()).value();
-        CHECK(fleet.hosts.size() == 9);
-        CHECK(fleet.accounts.size() == 10);
-        CHECK(fleet.kinds.size() == 5);
+        const auto config = buildRouterConfig(layers, 1, failureDomains.front()).value();
+        CHECK(config.hosts.size() == 9);
+        CHECK(config.accounts.size() == 10);
+        CHECK(config.kinds.size() == 5);
     }
 }
 
--- a/tools/load_experiment.cpp
+++ b/tools/load_experiment.cpp
@@ -231,7 +231,7 @@
         if (const auto failure = row->read(built, name, keys))
             return *failure;
     }
-    auto config = buildFleet(layers, 1, "");
+    auto config = buildRouterConfig(layers, 1, "");
     if (config.has_error())
         return config.error();
     built.config = std::move(config.value());
--- a/tools/load_experiment.h
+++ b/tools/load_experiment.h
@@ -80,7 +80,7 @@
     std::uint32_t hostListMs = 1000; ///< propagation delay of the host list
     double correlation = 0.5; ///< share of requests whose difficulty is the same for all models
     std::vector<std::string> routers; ///< HTTP mode: IP:port of each router
-    fleet config;
+    router_config config;
     std::vector<workload> workloads;
     std::vector<pool> pools;
     std::vector<timed_event> events;
--- a/tools/load_simulation.cpp
+++ b/tools/load_simulation.cpp
@@ -24,7 +24,7 @@
     auto &config = m_settings.config;
     if (config.tune.sessionKey.empty())
         config.tune.sessionKey = "virtual-time";
-    m_config = std::make_shared<const fleet>(config);
+    m_config = std::make_shared<const router_config>(config);
     m_requests = planRequests(m_settings, seed, kStartUnixSeconds);
     m_states.resize(m_requests.size());
     buildUpstreams();
@@ -150,7 +150,7 @@
 
 void simulation::applyVersion(const timed_event &event)
 {
-    auto next = std::make_shared<fleet>(*m_config);
+    auto next = std::make_shared<router_config>(*m_config);
     ++next->generation;
     const auto handle = next->versionByName(event.version);
     if (!handle.isValid())
--- a/tools/load_simulation.h
+++ b/tools/load_simulation.h
@@ -112,7 +112,7 @@
     experiment m_settings;
     std::uint64_t m_seed;
     virtual_clock m_clock;
-    std::shared_ptr<const fleet> m_config;
+    std::shared_ptr<const router_config> m_config;
     std::vector<planned_request> m_requests;
     std::vector<request_state> m_states; ///< of m_requests
     std::vector<submission> m_submissions; ///< index + 1 is the request token
