--- a/src/caller_connection.cpp
+++ b/src/caller_connection.cpp
@@ -136,7 +136,7 @@
     m_phase = phase::serving;
     m_timer.stop();
     m_keepAlive = m_parser.head().keepAlive;
-    caller_request request{m_parser.head(), std::exchange(m_body, {}), suspendAwareNow()};
+    inbound_request request{m_parser.head(), std::exchange(m_body, {}), suspendAwareNow()};
     m_parser.reset();
     auto work = m_owner.serve(std::move(request), *this);
     if (m_phase == phase::serving)
--- a/src/caller_connection_p.h
+++ b/src/caller_connection_p.h
@@ -11,7 +11,7 @@
 {
 
 /// A request as read from a caller.
-struct caller_request {
+struct inbound_request {
     message_head head;
     std::string body;
     instant readAt{}; ///< when the request had been read completely
@@ -62,7 +62,7 @@
     [[nodiscard]] virtual bool isDraining() const = 0;
 
     /// Starts work on a request. `response` may be used until the work is destroyed, and already before this returns.
-    [[nodiscard]] virtual std::unique_ptr<request_work> serve(caller_request request, caller_response &response) = 0;
+    [[nodiscard]] virtual std::unique_ptr<request_work> serve(inbound_request request, caller_response &response) = 0;
 
     /// Counts a request that was rejected while it was being read.
     virtual void recordRejected(int status, std::string_view reason) = 0;
--- a/src/forwarding.cpp
+++ b/src/forwarding.cpp
@@ -82,7 +82,7 @@
     return metadata;
 }
 
-std::string forwardedHead(const caller_request &request, const forward_fields &fields, const header_names &headerNames)
+std::string forwardedHead(const inbound_request &request, const forward_fields &fields, const header_names &headerNames)
 {
     const auto &head = request.head;
     const auto connectionOptions = splitList(head.header("Connection"));
--- a/src/forwarding_p.h
+++ b/src/forwarding_p.h
@@ -38,7 +38,7 @@
 };
 
 /// @returns the head of the forwarded request, including the blank line that ends it.
-[[nodiscard]] std::string forwardedHead(const caller_request &request, const forward_fields &fields,
+[[nodiscard]] std::string forwardedHead(const inbound_request &request, const forward_fields &fields,
                                         const header_names &headerNames);
 
 /// @returns the headers of a response that are forwarded to the caller.
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -26,7 +26,7 @@
     return configConfirmedAt && std::chrono::duration<double>(now - *configConfirmedAt) < lease;
 }
 
-gateway_exchange::gateway_exchange(gateway_state &state, caller_request request, caller_response &reply)
+gateway_exchange::gateway_exchange(gateway_state &state, inbound_request request, caller_response &reply)
     : m_state(state)
     , m_request(std::move(request))
     , m_callerResponse(reply)
--- a/src/gateway_exchange_p.h
+++ b/src/gateway_exchange_p.h
@@ -43,7 +43,7 @@
 class gateway_exchange : public request_work, private upstream_listener
 {
 public:
-    gateway_exchange(gateway_state &state, caller_request request, caller_response &reply);
+    gateway_exchange(gateway_state &state, inbound_request request, caller_response &reply);
     ~gateway_exchange() override;
 
     /// Starts processing; the request may already be finished when this returns.
@@ -103,7 +103,7 @@
     [[nodiscard]] std::string retryAfter();
 
     gateway_state &m_state;
-    caller_request m_request;
+    inbound_request m_request;
     caller_response &m_callerResponse;
     request_metadata m_facts;
     gateway_config_ptr m_config; ///< active when the request arrived
--- a/src/gateway_task.cpp
+++ b/src/gateway_task.cpp
@@ -124,7 +124,7 @@
     return m_state.config ? m_state.config->limits : s_default;
 }
 
-std::unique_ptr<request_work> gateway_task::serve(caller_request request, caller_response &reply)
+std::unique_ptr<request_work> gateway_task::serve(inbound_request request, caller_response &reply)
 {
     auto work = std::make_unique<gateway_exchange>(m_state, std::move(request), reply);
     work->begin();
--- a/src/gateway_task_p.h
+++ b/src/gateway_task_p.h
@@ -38,7 +38,7 @@
 private:
     [[nodiscard]] const caller_limits &limits() const override;
     [[nodiscard]] bool isDraining() const override { return m_isDraining; }
-    [[nodiscard]] std::unique_ptr<request_work> serve(caller_request request, caller_response &reply) override;
+    [[nodiscard]] std::unique_ptr<request_work> serve(inbound_request request, caller_response &reply) override;
     void recordRejected(int status, std::string_view reason) override;
     void onConnectionEnd(caller_connection &connection) override;
 
