--- a/src/relay_choice.cpp
+++ b/src/relay_choice.cpp
@@ -34,13 +34,13 @@
         found->skippedUntil = now + (isStoreUnreachable ? std::chrono::milliseconds{0} : kFailureBackoff);
 }
 
-std::size_t relay_audience::size(instant now)
+std::size_t relay_query_tracker::size(instant now)
 {
-    std::erase_if(m_queriedAt, [now](const auto &entry) { return now - entry.second > kAudienceLifetime; });
+    std::erase_if(m_queriedAt, [now](const auto &entry) { return now - entry.second > kQuerierLifetime; });
     return m_queriedAt.size();
 }
 
-bool relay_audience::mayRespond(std::optional<instant> confirmedAt, bool isComplete, instant now)
+bool relay_query_tracker::mayRespond(std::optional<instant> confirmedAt, bool isComplete, instant now)
 {
     return isComplete && confirmedAt && now - *confirmedAt <= kMaxConfirmationAge;
 }
--- a/src/relay_choice_p.h
+++ b/src/relay_choice_p.h
@@ -34,14 +34,14 @@
         return isUrgent ? kUrgentPollInterval : kPollInterval;
     }
 
-    /// @param audience number of hosts that queried the relay recently.
+    /// @param queriers number of hosts that queried the relay recently.
     /// @returns whether to follow it.
-    [[nodiscard]] static bool shouldFollow(std::size_t audience) { return audience >= kMinAudience; }
+    [[nodiscard]] static bool shouldFollow(std::size_t queriers) { return queriers >= kMinQueriers; }
 
     /// Minimum number of hosts per relay for them to follow it. With three relays, up to about 20 hosts read the store
     /// themselves: their reads cost less than 0.02 of the amount owed (priced as in docs/platform.md), and they don't
     /// depend on an intermediate host.
-    static constexpr std::size_t kMinAudience = 6;
+    static constexpr std::size_t kMinQueriers = 6;
     /// Time for which a failed relay is not queried.
     static constexpr std::chrono::seconds kFailureBackoff{3};
     /// Time between two queries to a relay that this host does not follow.
@@ -61,7 +61,7 @@
 };
 
 /// Hosts that query a relay, and the condition for responding to them.
-class relay_audience
+class relay_query_tracker
 {
 public:
     void recordQuery(const std::string &host, instant now) { m_queriedAt[host] = now; }
@@ -81,7 +81,7 @@
     static constexpr std::chrono::milliseconds kMaxWatchWait{800};
 
 private:
-    static constexpr std::chrono::seconds kAudienceLifetime{10};
+    static constexpr std::chrono::seconds kQuerierLifetime{10};
     std::map<std::string, instant> m_queriedAt; ///< by host
 };
 
--- a/tests/test_feed_relay.cpp
+++ b/tests/test_feed_relay.cpp
@@ -109,20 +109,20 @@
 
 TEST_CASE("relay choice: small fleets have no relay, and stale or partial data isn't forwarded")
 {
-    relay_audience audience;
+    relay_query_tracker queriers;
     for (int i = 0; i < 5; ++i)
-        audience.recordQuery("host-" + std::to_string(i), 1s);
-    CHECK_FALSE(relay_choice::shouldFollow(audience.size(2s)));
-    audience.recordQuery("host-0", 2s);
-    CHECK_FALSE(relay_choice::shouldFollow(audience.size(2s)));
-    audience.recordQuery("host-5", 2s);
-    CHECK(relay_choice::shouldFollow(audience.size(2s)));
-    CHECK_FALSE(relay_choice::shouldFollow(audience.size(11'500ms))); // queries of absent hosts expire
-
-    CHECK(relay_audience::mayRespond(10s, true, 10s + relay_audience::kMaxConfirmationAge));
-    CHECK_FALSE(relay_audience::mayRespond(10s, true, 10'001ms + relay_audience::kMaxConfirmationAge));
-    CHECK_FALSE(relay_audience::mayRespond(10s, false, 10s));
-    CHECK_FALSE(relay_audience::mayRespond(std::nullopt, true, 10s));
+        queriers.recordQuery("host-" + std::to_string(i), 1s);
+    CHECK_FALSE(relay_choice::shouldFollow(queriers.size(2s)));
+    queriers.recordQuery("host-0", 2s);
+    CHECK_FALSE(relay_choice::shouldFollow(queriers.size(2s)));
+    queriers.recordQuery("host-5", 2s);
+    CHECK(relay_choice::shouldFollow(queriers.size(2s)));
+    CHECK_FALSE(relay_choice::shouldFollow(queriers.size(11'500ms))); // queries of absent hosts expire
+
+    CHECK(relay_query_tracker::mayRespond(10s, true, 10s + relay_query_tracker::kMaxConfirmationAge));
+    CHECK_FALSE(relay_query_tracker::mayRespond(10s, true, 10'001ms + relay_query_tracker::kMaxConfirmationAge));
+    CHECK_FALSE(relay_query_tracker::mayRespond(10s, false, 10s));
+    CHECK_FALSE(relay_query_tracker::mayRespond(std::nullopt, true, 10s));
 }
 
 TEST_CASE("kind mirror: changes since a revision, or the complete list once they are evicted")
