--- a/src/caller_protocol.cpp
+++ b/src/caller_protocol.cpp
@@ -139,7 +139,7 @@
     request.requestId = headers.requestId;
     request.sessionId = headers.sessionId;
     request.sessionToken = headers.sessionToken;
-    if (!readDeadline(headers.deadlineMs, request.deadline))
+    if (!readDeadline(headers.deadlineMs, request.timeout))
         return caller_refusal{reason_code::malformed_body, "Foxtaildyke-Deadline-Ms"};
     if (const char *field = readBody(json::parse(body, nullptr, false), request))
         return caller_refusal{reason_code::malformed_body, field};
--- a/src/forwarding.cpp
+++ b/src/forwarding.cpp
@@ -68,8 +68,8 @@
     metadata.id = head.header(headerNames.requestId);
     metadata.host = head.header("Host");
     metadata.model = head.header(headerNames.model);
-    if (const auto deadline = parseNumber(head.header(headerNames.deadline)))
-        metadata.deadline = std::chrono::milliseconds{*deadline};
+    if (const auto timeout = parseNumber(head.header(headerNames.deadline)))
+        metadata.timeout = std::chrono::milliseconds{*timeout};
     metadata.lastEventId = parseNumber(head.header(headerNames.lastEventId));
     const auto authorization = head.header("Authorization");
     const auto scheme = authorization.substr(0, authorization.find(' '));
@@ -107,7 +107,7 @@
         if (!isNeverForwarded(name) && !isConnectionOption && !isReplaced(name) && !isOneOf(name, headerNames.reserved))
             add(name, value);
     }
-    add(headerNames.deadline, std::to_string(fields.deadline.count()));
+    add(headerNames.deadline, std::to_string(fields.timeout.count()));
     add(headerNames.expectReplica, fields.replica);
     if (!fields.account.empty())
         add(headerNames.account, fields.account);
--- a/src/forwarding_p.h
+++ b/src/forwarding_p.h
@@ -16,7 +16,7 @@
     std::string key; ///< API key; empty: none
     std::string host;
     std::string model; ///< empty: not specified
-    std::optional<std::chrono::milliseconds> deadline; ///< time for which the caller waits
+    std::optional<std::chrono::milliseconds> timeout; ///< time for which the caller waits
     std::optional<std::uint64_t> lastEventId; ///< last event of an interrupted stream that the caller received
     std::uint64_t promptTokens = 0; ///< including shared tokens
     std::uint64_t sharedTokens = 0; ///< in prompt parts shared with other requests
@@ -32,7 +32,7 @@
     std::string replica;
     std::string account; ///< empty: none
     std::string model; ///< replaces the caller's value unless empty
-    std::chrono::milliseconds deadline{};
+    std::chrono::milliseconds timeout{};
     std::optional<std::uint32_t> priority; ///< scheduling priority in an engine
     std::optional<std::uint64_t> lastEventId; ///< replaces the caller's value
 };
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -47,7 +47,7 @@
 {
     if (const auto reason = validate())
         return refuse(*reason);
-    const auto wait = std::min(m_route->timeout, m_facts.deadline.value_or(m_route->timeout));
+    const auto wait = std::min(m_route->timeout, m_facts.timeout.value_or(m_route->timeout));
     m_deadline = m_request.readAt + wait;
     m_timer.start(remainingTime());
     chooseService();
@@ -181,7 +181,7 @@
     fields.replica = replica.id;
     fields.account = m_account ? m_account->name : std::string();
     fields.model = m_route->models.empty() ? std::string() : m_route->models[m_model];
-    fields.deadline = remainingTime();
+    fields.timeout = remainingTime();
     const auto *service = m_config->findService(m_service);
     if (service && service->engine)
         fields.priority = enginePriority();
--- a/src/router_config_p.h
+++ b/src/router_config_p.h
@@ -45,7 +45,7 @@
     std::vector<model_handle> cascade; ///< cheapest first; a single entry disables escalation
     std::uint32_t targetPermille = 900; ///< minimum score of a response that meets the quality target
     bool rated = true; ///< responses are sent to the rating service
-    std::chrono::milliseconds deadline{30000}; ///< default and upper bound of the caller's deadline
+    std::chrono::milliseconds maxTimeout{30000}; ///< default and upper bound of the caller's timeout
     std::uint32_t maxTokens = 1024;
 };
 
--- a/src/router_core_attempts.cpp
+++ b/src/router_core_attempts.cpp
@@ -183,11 +183,11 @@
 bool router_core::implementation::isTimeoutEvidence(const open_request &request, const open_attempt &attempt) const
 {
     // Attempts of good versions also time out where their pool is overloaded. Timeouts therefore count only against a
-    // version with a baseline to fall back on, and only where the attempt had at least half of the kind's deadline.
+    // version with a baseline to fall back on, and only where the attempt had at least half of the kind's maxTimeout.
     const auto kind = m_config->kindByName(request.input.kind);
     const auto version = m_config->versionByName(attempt.version);
     return kind.isValid() && version.isValid() && (*m_config)[version].baseline.isValid()
-        && 2 * (m_now - attempt.startedAt) >= (*m_config)[kind].deadline;
+        && 2 * (m_now - attempt.startedAt) >= (*m_config)[kind].maxTimeout;
 }
 
 std::string router_core::implementation::stratumOf(const open_request &request)
@@ -218,7 +218,7 @@
 
 void router_core::implementation::recordResponseStats(const open_request &request, const open_attempt &attempt)
 {
-    if (m_now > request.deadline) // A mean beyond the kind's deadline would refuse all later requests of the kind.
+    if (m_now > request.deadline) // A mean beyond the kind's maxTimeout would refuse all later requests of the kind.
         return;
     const response_stats stats{std::chrono::duration<double, std::milli>(m_now - attempt.startedAt).count(),
                                static_cast<double>(request.response.completionTokens)};
--- a/src/router_core_dispatch.cpp
+++ b/src/router_core_dispatch.cpp
@@ -140,7 +140,7 @@
                                                   instant start) const
 {
     // Requires half of the mean duration. Only responses within the deadline are measured, so a request with its whole
-    // deadline left always passes, and an attempt that would almost certainly time out is not started.
+    // timeout left always passes, and an attempt that would almost certainly time out is not started.
     const auto *stats = statsOf(request, version);
     const auto left = std::chrono::duration<double, std::milli>(request.deadline - start).count();
     return left >= (stats ? std::max(kMinDurationMs, stats->durationMs / 2) : kMinDurationMs);
--- a/src/router_core_intake.cpp
+++ b/src/router_core_intake.cpp
@@ -99,7 +99,7 @@
     const auto &entry = (*m_config)[kind];
     request.priority = entry.priority;
     request.idempotent = entry.idempotent;
-    request.deadline = m_now + std::min(input.deadline.value_or(entry.deadline), entry.deadline);
+    request.deadline = m_now + std::min(input.timeout.value_or(entry.maxTimeout), entry.maxTimeout);
     request.fingerprint = fingerprintOf(request.account, input.kind, input.prompt);
     return kAccepted;
 }
--- a/src/router_core_p.h
+++ b/src/router_core_p.h
@@ -30,7 +30,7 @@
     std::string kind;
     std::string prompt;
     std::uint32_t maxTokens = 0; ///< 0: the kind's limit
-    std::optional<std::chrono::milliseconds> deadline; ///< relative to arrival
+    std::optional<std::chrono::milliseconds> timeout; ///< relative to arrival
     bool stream = false;
     std::int64_t unixSeconds = 0; ///< wall clock at arrival; the age of the request id is checked against it
 };
--- a/src/settings_table_p.h
+++ b/src/settings_table_p.h
@@ -117,7 +117,7 @@
             "Least score of an answer that meets the quality target."},
         row{"rated", &kind_config::rated, "true or false", 0, 0, false, overlay_rule::fixed,
             "Whether answers are sent to the rating service."},
-        row{"deadline_ms", &kind_config::deadline, "ms", 1, 86400000, false, overlay_rule::lower,
+        row{"deadline_ms", &kind_config::maxTimeout, "ms", 1, 86400000, false, overlay_rule::lower,
             "Deadline where the caller names none, and the most it may name."},
         row{"max_tokens", &kind_config::maxTokens, "tokens", 1, 1e6, false, overlay_rule::lower,
             "Most completion tokens of an answer."}};
--- a/tests/test_caller_protocol.cpp
+++ b/tests/test_caller_protocol.cpp
@@ -31,7 +31,7 @@
     CHECK(request.requestId == "1-a");
     CHECK(request.sessionId == "s");
     CHECK(request.sessionToken == "t");
-    CHECK(request.deadline == std::chrono::milliseconds(250));
+    CHECK(request.timeout == std::chrono::milliseconds(250));
     CHECK(request.kind == "k");
     CHECK(request.prompt == "p");
     CHECK(request.maxTokens == 7);
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -319,7 +319,7 @@
             if (chance(10))
                 request.prompt = "poison";
             if (chance(20))
-                request.deadline = milliseconds{100 + below(2000)};
+                request.timeout = milliseconds{100 + below(2000)};
             request.stream = chance(50);
             m_checker.recordRequest(request);
         });
--- a/tests/test_fleets.cpp
+++ b/tests/test_fleets.cpp
@@ -27,14 +27,14 @@
 }
 
 void addKind(router_config &config, std::string name, request_class priority, bool idempotent,
-             const std::vector<model_handle> &cascade, milliseconds deadline)
+             const std::vector<model_handle> &cascade, milliseconds timeout)
 {
     config.kinds.push_back({.name = std::move(name),
                             .priority = priority,
                             .idempotent = idempotent,
                             .cascade = cascade,
                             .rated = cascade.size() > 1,
-                            .deadline = deadline});
+                            .maxTimeout = timeout});
 }
 
 void addAccount(router_config &config, const std::string &name)
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -116,7 +116,7 @@
     const auto second = simulation.submit(11ms, "page-tag");
     const auto third = simulation.submit(12ms, "page-tag");
     const auto fourth = simulation.submit(13ms, "page-tag");
-    const auto late = simulation.submit(3500ms, "page-tag", [](caller_request &request) { request.deadline = 1s; });
+    const auto late = simulation.submit(3500ms, "page-tag", [](caller_request &request) { request.timeout = 1s; });
     simulation.run(20s);
     checkResponse(simulation, first, outcome_kind::complete);
     checkResponse(simulation, second, outcome_kind::failed_after_run, reason_code::deadline_exceeded);
--- a/tests/test_golden_ledger.cpp
+++ b/tests/test_golden_ledger.cpp
@@ -56,7 +56,7 @@
         return attempt_script{.chunks = {"noted"}, .first = 800ms};
     };
     const auto late =
-        simulation.submit(10ms, "payment-promise", [](caller_request &request) { request.deadline = 300ms; });
+        simulation.submit(10ms, "payment-promise", [](caller_request &request) { request.timeout = 300ms; });
     const auto early = simulation.submit(500ms, "payment-promise", resendFirst);
     const auto resend = simulation.submit(1500ms, "payment-promise", resendFirst);
     simulation.run(20s);
--- a/tests/test_settings.cpp
+++ b/tests/test_settings.cpp
@@ -106,7 +106,7 @@
     CHECK(config.isGranted(ada, config.versionByName("small-1")));
     CHECK_FALSE(config.isGranted(ada, config.versionByName("small-2")));
     CHECK(config[config.versionByName("small-2")].baseline == config.versionByName("small-1"));
-    CHECK(config[config.kindByName("ask")].deadline == std::chrono::milliseconds(1000));
+    CHECK(config[config.kindByName("ask")].maxTimeout == std::chrono::milliseconds(1000));
     CHECK(config[config.kindByName("once")].maxTokens == 1024);
     CHECK(config.tune.exchangePeriod == std::chrono::milliseconds(500));
 }
--- a/tools/load_http.cpp
+++ b/tools/load_http.cpp
@@ -77,7 +77,7 @@
     {
         if (source.deadlineMs > 0)
             return milliseconds{source.deadlineMs};
-        return m_settings.config[m_settings.config.kindByName(source.kind)].deadline;
+        return m_settings.config[m_settings.config.kindByName(source.kind)].maxTimeout;
     }
 
     [[nodiscard]] http_headers headersOf(const planned_request &planned, const workload &source) const
--- a/tools/load_simulation.cpp
+++ b/tools/load_simulation.cpp
@@ -192,7 +192,7 @@
                          .unixSeconds = kStartUnixSeconds
                              + std::chrono::duration_cast<std::chrono::seconds>(m_clock.now()).count()};
     if (source.deadlineMs > 0)
-        input.deadline = milliseconds{source.deadlineMs};
+        input.timeout = milliseconds{source.deadlineMs};
     const auto token = m_sessionTokens.find(planned.sessionId);
     if (!planned.sessionId.empty() && token != m_sessionTokens.end())
         input.sessionToken = token->second;
@@ -267,10 +267,10 @@
         return;
     }
     const auto latency = std::chrono::duration<double, std::milli>(state.endedAt - planned.at).count();
-    const auto deadline =
-        source.deadlineMs > 0 ? static_cast<double>(source.deadlineMs) : static_cast<double>(kind.deadline.count());
+    const auto timeout =
+        source.deadlineMs > 0 ? static_cast<double>(source.deadlineMs) : static_cast<double>(kind.maxTimeout.count());
     row.latencyMs.push_back(latency);
-    row.inTime += latency <= deadline ? 1 : 0;
+    row.inTime += latency <= timeout ? 1 : 0;
     row.met += state.met ? 1 : 0;
 }
 
