--- a/src/fleet_p.h
+++ b/src/router_config_p.h
@@ -45,7 +45,7 @@
     std::vector<model_handle> cascade; ///< cheapest first; a single entry disables escalation
     std::uint32_t targetPermille = 900; ///< minimum score of a response that meets the quality target
     bool rated = true; ///< responses are sent to the rating service
-    std::chrono::milliseconds deadline{30000}; ///< default and upper bound of the caller's deadline
+    std::chrono::milliseconds maxTimeout{30000}; ///< default and upper bound of the caller's timeout
     std::uint32_t maxTokens = 1024;
 };
 
@@ -86,8 +86,8 @@
 };
 
 /// One generation of the configuration, with the overlay of one failure domain applied.
-/// @remarks Invariant: every valid handle stored in a fleet refers to an entry of the same fleet.
-struct fleet {
+/// @remarks Invariant: every valid handle stored in a router_config refers to an entry of the same object.
+struct router_config {
     generation_number generation = 0;
     std::vector<account_config> accounts;
     std::vector<model_config> models;
@@ -113,7 +113,7 @@
     [[nodiscard]] bool isGranted(account_handle account, version_handle version) const;
 };
 
-using fleet_ptr = std::shared_ptr<const fleet>;
+using router_config_ptr = std::shared_ptr<const router_config>;
 
 /// An upstream as described by the host list and its load reports.
 struct upstream_info {
--- a/src/router_core_p.h
+++ b/src/router_core_p.h
@@ -5,9 +5,9 @@
 #include "admission_p.h"
 #include "balancer_p.h"
 #include "evidence_p.h"
-#include "fleet_p.h"
 #include "policy_p.h"
 #include "quarantine_p.h"
+#include "router_config_p.h"
 #include "session_p.h"
 
 #include <deque>
@@ -30,7 +30,7 @@
     std::string kind;
     std::string prompt;
     std::uint32_t maxTokens = 0; ///< 0: the kind's limit
-    std::optional<std::chrono::milliseconds> deadline; ///< relative to arrival
+    std::optional<std::chrono::milliseconds> timeout; ///< relative to arrival
     bool stream = false;
     std::int64_t unixSeconds = 0; ///< wall clock at arrival; the age of the request id is checked against it
 };
@@ -90,7 +90,7 @@
     std::optional<std::uint32_t> scorePermille; ///< not set: the rating service did not respond
 };
 struct config_changed {
-    fleet_ptr config;
+    router_config_ptr config;
 };
 struct lease_changed {
     generation_number generation = 0;
