--- a/tests/feed_recorder.h
+++ b/tests/feed_recorder.h
@@ -14,8 +14,8 @@
     std::vector<std::string> events;
     bool isReachable = false;
     std::size_t fleetSize = 0;
-    std::vector<replica_load> own;
-    std::vector<replica_load> others;
+    std::vector<replica_load> ownLoads; ///< load that this host reports, set by the test
+    std::vector<replica_load> othersLoads; ///< load of the other hosts as last received
 
     void onConfig(gateway_config_ptr config) override { configs.push_back(std::move(config)); }
     void onConfigConfirmed(instant) override { ++confirmations; }
@@ -32,10 +32,10 @@
     }
     void onReplicaRemoved(const std::string &id) override { std::erase(replicas, id); }
     void onRollouts(const std::vector<rollout_order> &all) override { orders = all; }
-    void onFeedReachable(bool isNow) override { isReachable = isNow; }
+    void onFeedReachable(bool isReachableNow) override { isReachable = isReachableNow; }
     void onFleetSize(std::size_t hosts) override { fleetSize = hosts; }
-    std::vector<replica_load> ownLoad() const override { return own; }
-    void onOthersLoad(const std::vector<replica_load> &loads) override { others = loads; }
+    std::vector<replica_load> ownLoad() const override { return ownLoads; }
+    void onOthersLoad(const std::vector<replica_load> &loads) override { othersLoads = loads; }
     void onFeedEvent(std::string_view type, const std::string &subject, const std::string &) override
     {
         events.push_back(std::string(type) + ' ' + subject);
--- a/tests/freshness_sim.cpp
+++ b/tests/freshness_sim.cpp
@@ -44,16 +44,16 @@
 bool freshness_sim::isActive(fault_kind kind, std::size_t host) const
 {
     return std::ranges::any_of(m_faults, [&](const fault &f) {
-        const bool now = f.kind == kind && m_step >= f.start && m_step < f.start + f.length;
-        return now && (kind == fault_kind::outage || f.affects(host));
+        const bool isCurrent = f.kind == kind && m_step >= f.start && m_step < f.start + f.length;
+        return isCurrent && (kind == fault_kind::outage || f.affects(host));
     });
 }
 
 bool freshness_sim::isCut(std::size_t first, std::size_t second) const
 {
     return std::ranges::any_of(m_faults, [&](const fault &f) {
-        const bool now = f.kind == fault_kind::partition && m_step >= f.start && m_step < f.start + f.length;
-        return now && f.affects(first) != f.affects(second);
+        const bool isCurrent = f.kind == fault_kind::partition && m_step >= f.start && m_step < f.start + f.length;
+        return isCurrent && f.affects(first) != f.affects(second);
     });
 }
 
@@ -190,21 +190,21 @@
 
 void freshness_sim::deliver()
 {
-    const auto due = [this](const message &incoming) {
+    const auto isMessageDue = [this](const message &incoming) {
         return incoming.deliverAt <= m_step && !isActive(fault_kind::pause, incoming.to);
     };
-    std::vector<message> now;
-    std::ranges::copy_if(m_messages, std::back_inserter(now), due);
-    std::erase_if(m_messages, due);
-    for (const auto &incoming : now)
+    std::vector<message> dueMessages;
+    std::ranges::copy_if(m_messages, std::back_inserter(dueMessages), isMessageDue);
+    std::erase_if(m_messages, isMessageDue);
+    for (const auto &incoming : dueMessages)
         if (incoming.toIncarnation == 0 || incoming.toIncarnation == m_hosts[incoming.to].incarnation)
             receive(incoming);
-    const auto isDue = [this](const store_response &response) {
+    const auto isResponseDue = [this](const store_response &response) {
         return response.deliverAt <= m_step && !isActive(fault_kind::pause, response.host);
     };
     std::vector<store_response> responses;
-    std::ranges::copy_if(m_storeResponses, std::back_inserter(responses), isDue);
-    std::erase_if(m_storeResponses, isDue);
+    std::ranges::copy_if(m_storeResponses, std::back_inserter(responses), isResponseDue);
+    std::erase_if(m_storeResponses, isResponseDue);
     for (const auto &response : responses) {
         auto &host = m_hosts[response.host];
         if (response.incarnation != host.incarnation)
@@ -277,15 +277,15 @@
 
 void freshness_sim::stepWriter(writer &state)
 {
-    if (m_step < state.next)
+    if (m_step < state.nextStep)
         return;
-    if (state.now != writer::phase::waiting && isActive(fault_kind::outage, 0))
+    if (state.currentPhase != writer::phase::waiting && isActive(fault_kind::outage, 0))
         return;
-    switch (state.now) {
+    switch (state.currentPhase) {
     case writer::phase::idle:
         state.base = m_store.size() - 1;
-        state.now = writer::phase::writing;
-        state.next = m_step + static_cast<int>(m_random() % 10);
+        state.currentPhase = writer::phase::writing;
+        state.nextStep = m_step + static_cast<int>(m_random() % 10);
         break;
     case writer::phase::writing:
         tryWrite(state);
@@ -301,7 +301,7 @@
 
 void freshness_sim::tryWrite(writer &state)
 {
-    state.now = writer::phase::idle;
+    state.currentPhase = writer::phase::idle;
     const auto hosts = nextHosts(state.base);
     // Conditional update: another writer may have written in the meantime.
     if (state.base != m_store.size() - 1)
@@ -310,18 +310,18 @@
     state.written = state.base + 1;
     state.majorityAt = -1;
     if (m_random() % 8 == 0) { // the request is lost
-        state.now = writer::phase::unconfirmed;
+        state.currentPhase = writer::phase::unconfirmed;
         return;
     }
     m_store.push_back({state.changeId, hosts});
     // One response in eight is lost.
-    state.now = m_random() % 8 == 0 ? writer::phase::unconfirmed : writer::phase::waiting;
+    state.currentPhase = m_random() % 8 == 0 ? writer::phase::unconfirmed : writer::phase::waiting;
 }
 
 void freshness_sim::resolveWrite(writer &state)
 {
     const bool isOurs = state.written < m_store.size() && m_store[state.written].changeId == state.changeId;
-    state.now = isOurs ? writer::phase::waiting : writer::phase::idle;
+    state.currentPhase = isOurs ? writer::phase::waiting : writer::phase::idle;
 }
 
 void freshness_sim::checkAccepted(writer &state)
@@ -332,20 +332,20 @@
     if (current >= state.written && !isActive(fault_kind::pause, observer)) {
         const auto acknowledged = acknowledgedBy(observer);
         // A host that was removed since the last accepted generation may still have a lease.
-        std::vector<std::string> mayHoldLease;
+        std::vector<std::string> possibleLeaseHolders;
         for (auto g = std::max<generation_number>(m_accepted, 1); g <= current; ++g)
-            std::ranges::copy(m_store[g].hosts, std::back_inserter(mayHoldLease));
-        const bool all =
-            std::ranges::all_of(mayHoldLease, [&](const auto &name) { return contains(acknowledged, name); });
+            std::ranges::copy(m_store[g].hosts, std::back_inserter(possibleLeaseHolders));
+        const bool allAcknowledged =
+            std::ranges::all_of(possibleLeaseHolders, [&](const auto &name) { return contains(acknowledged, name); });
         if (state.majorityAt < 0 && isMajority(acknowledged, m_store[current].hosts))
             state.majorityAt = m_step;
-        if (!all && (state.majorityAt < 0 || m_step < state.majorityAt + kAcceptSteps))
+        if (!allAcknowledged && (state.majorityAt < 0 || m_step < state.majorityAt + kAcceptSteps))
             return;
         ++m_acceptedCount;
         m_accepted = std::max(m_accepted, state.written);
         m_acceptedIds[state.written] = state.changeId;
-        state.now = writer::phase::idle;
-        state.next = m_step + static_cast<int>(m_random() % 20);
+        state.currentPhase = writer::phase::idle;
+        state.nextStep = m_step + static_cast<int>(m_random() % 20);
     }
 }
 
--- a/tests/freshness_sim.h
+++ b/tests/freshness_sim.h
@@ -85,8 +85,8 @@
         instant readStarted{};
     };
     struct writer {
-        enum class phase : std::uint8_t { idle, writing, unconfirmed, waiting } now = phase::idle;
-        int next = 0;
+        enum class phase : std::uint8_t { idle, writing, unconfirmed, waiting } currentPhase = phase::idle;
+        int nextStep = 0;
         generation_number base = 0;
         generation_number written = 0;
         std::string changeId;
--- a/tests/gateway_harness.cpp
+++ b/tests/gateway_harness.cpp
@@ -57,9 +57,9 @@
                                          .onDrained = [this] { onDrained(); },
                                          .onEnd =
                                              [this](socket_end) {
-                                                 if (isOpen)
+                                                 if (hasOpenRequest)
                                                      ++replica.connectionsLost;
-                                                 isOpen = false;
+                                                 hasOpenRequest = false;
                                              }})
     {
     }
@@ -69,7 +69,7 @@
         const auto onBody = [this](std::string_view bytes) {
             body.append(bytes);
         };
-        while (!stream.received().empty() && !isOpen) {
+        while (!stream.received().empty() && !hasOpenRequest) {
             const bool wasHead = parser.state() == parse_state::head;
             stream.consume(parser.feed(stream.received(), onBody, wasHead));
             if (wasHead && parser.state() == parse_state::body && replica.respondsAfterHead)
@@ -83,7 +83,7 @@
                 parser.reset();
                 continue;
             }
-            isOpen = true;
+            hasOpenRequest = true;
             replica.requests.push_back({parser.head(), std::exchange(body, {})});
             parser.reset();
             script = replica.m_script(replica.requests.back());
@@ -93,10 +93,10 @@
 
     void respond()
     {
-        if (!isOpen)
+        if (!hasOpenRequest)
             return;
         stream.write(script.bytes);
-        isOpen = !script.closes && !script.resets && script.bytes.empty();
+        hasOpenRequest = !script.closes && !script.resets && script.bytes.empty();
         if (script.bytes.empty())
             onDrained();
     }
@@ -104,7 +104,7 @@
     void onDrained()
     {
         // A new connection reports once that its buffer is drained, before anything was written.
-        if (isOpen)
+        if (hasOpenRequest)
             return;
         if (script.resets)
             resetTimer.start(std::chrono::milliseconds(5));
@@ -121,7 +121,7 @@
     http_parser parser{message_type::request};
     std::string body;
     replica_script script;
-    bool isOpen = false; ///< a request awaits its response
+    bool hasOpenRequest = false; ///< a request was received and its response is not yet written
     loop_timer timer;
     loop_timer resetTimer;
     stream_socket stream;
--- a/tests/ledger_fakes.h
+++ b/tests/ledger_fakes.h
@@ -64,7 +64,7 @@
     std::uint64_t lostCall = 0; ///< the call has no effect and gets no response
     std::uint64_t delayed = 0; ///< fails with timed_out, but takes effect much later
     std::uint64_t refused = 0; ///< fails with unavailable
-    std::uint64_t maxDelayUs = 20000; ///< upper bound of a delayed effect
+    std::uint64_t maxDelayUs = 20000; ///< upper bound of the delay of a delayed call
 };
 
 /// Objects of the platform, with the history of batches for comparison.
@@ -196,30 +196,31 @@
     template <typename value_type>
     void call(std::function<value_type()> effect, std::function<void(value_type)> done)
     {
-        const instant there{200 + m_sim.below(kMaxOneWayUs)};
-        const instant back{200 + m_sim.below(kMaxOneWayUs)};
+        const instant requestDelay{200 + m_sim.below(kMaxOneWayUs)};
+        const instant responseDelay{200 + m_sim.below(kMaxOneWayUs)};
         const auto fail = [this, done](instant delay, error_code code) {
             m_host.deliver(delay, [done, code] { done(error{code, "fake"}); });
         };
         if (m_sim.chance(m_faults.refused))
-            return fail(there + back, error_code::unavailable);
+            return fail(requestDelay + responseDelay, error_code::unavailable);
         if (m_sim.chance(m_faults.lostCall))
-            return fail(there + back, error_code::timed_out);
+            return fail(requestDelay + responseDelay, error_code::timed_out);
         const bool isLost = m_sim.chance(m_faults.lostResponse);
         const bool isDelayed = m_sim.chance(m_faults.delayed);
         if (isLost || isDelayed)
-            fail(there + back, isLost ? error_code::io_failure : error_code::timed_out);
-        const auto late = isDelayed ? instant(m_sim.below(m_faults.maxDelayUs)) : instant{};
-        m_sim.after(there + late, [this, &host = m_host, &store = m_store, effect, done, back, isLost, isDelayed] {
-            if (store.isDown) {
-                if (!isLost && !isDelayed)
-                    host.deliver(back, [done] { done(error{error_code::unavailable, "fake"}); });
-                return;
-            }
-            const auto value = effect();
-            if (!isLost && !isDelayed)
-                host.deliver(back, [done, value] { done(value); });
-        });
+            fail(requestDelay + responseDelay, isLost ? error_code::io_failure : error_code::timed_out);
+        const auto effectDelay = isDelayed ? instant(m_sim.below(m_faults.maxDelayUs)) : instant{};
+        m_sim.after(requestDelay + effectDelay,
+                    [this, &host = m_host, &store = m_store, effect, done, responseDelay, isLost, isDelayed] {
+                        if (store.isDown) {
+                            if (!isLost && !isDelayed)
+                                host.deliver(responseDelay, [done] { done(error{error_code::unavailable, "fake"}); });
+                            return;
+                        }
+                        const auto value = effect();
+                        if (!isLost && !isDelayed)
+                            host.deliver(responseDelay, [done, value] { done(value); });
+                    });
     }
 
     simulation &m_sim;
--- a/tests/measure_ledger.cpp
+++ b/tests/measure_ledger.cpp
@@ -1,5 +1,5 @@
-// Benchmarks the ledger: store calls with and without owner routing in virtual time, and memory and CPU time for three
-// sizes, whose slopes give the cost per record. Prints Markdown rows for docs/MEASUREMENTS.md.
+// Benchmarks the ledger: store calls with and without owner routing in virtual time, and memory and CPU time at three
+// sizes, whose differences give the cost per record. Prints Markdown rows for docs/MEASUREMENTS.md.
 #include "ledger_fakes.h"
 #include "ledger_service_p.h"
 
@@ -127,7 +127,7 @@
 }
 
 /// Store that responds synchronously and retains only the current objects.
-class instant_store : public object_store
+class synchronous_store : public object_store
 {
 public:
     void read(const std::string &key, read_done done) override { done(store.read(key)); }
@@ -186,7 +186,7 @@
 /// @returns CPU seconds that one segment needs for `records` bills in batches of 20, including the fake store's time.
 double segmentSeconds(std::size_t records)
 {
-    instant_store store;
+    synchronous_store store;
     ledger_segment segment(store, 0, "host3-run1", 1h);
     const auto startTime = processorSeconds();
     constexpr std::size_t kBatch = 20;
--- a/tests/measure_relay.cpp
+++ b/tests/measure_relay.cpp
@@ -58,7 +58,7 @@
 {
     const auto start = bus.now();
     bus.publish();
-    while (bus.holders(bus.published()) < bus.count() && bus.now() - start < 30s)
+    while (bus.adoptedCount(bus.published()) < bus.hostCount() && bus.now() - start < 30s)
         bus.run(5ms);
     return static_cast<double>((bus.now() - start).count()) / 1000;
 }
@@ -102,10 +102,10 @@
     const auto hosts = static_cast<double>(config.hosts);
     const auto storeReads = static_cast<double>(bus.storeReads()) / kSeconds;
     bus.setStoreUp(false);
-    std::size_t fewest = config.hosts;
+    std::size_t fewestDispatchers = config.hosts;
     for (int i = 0; i < 200; ++i) {
         bus.run(100ms);
-        fewest = std::min(fewest, bus.dispatchers());
+        fewestDispatchers = std::min(fewestDispatchers, bus.dispatcherCount());
     }
     std::cout << std::fixed << std::setprecision(0) << "| " << config.hosts << " | " << config.fanOut << " | "
               << config.period.count() << " | " << kLoadNames[static_cast<std::size_t>(load)] << " | "
@@ -113,7 +113,7 @@
               << " | " << std::setprecision(1) << static_cast<double>(messages) / hosts / kSeconds << " | "
               << storeReads << " | " << std::setprecision(0) << propagation << " | "
               << cpu * 2e6 / static_cast<double>(messages) << " | " << std::setprecision(3)
-              << cpu / kSeconds / hosts * 100 << " | " << fewest << " |" << std::endl;
+              << cpu / kSeconds / hosts * 100 << " | " << fewestDispatchers << " |" << std::endl;
 }
 
 } // namespace
--- a/tests/relay_bus.cpp
+++ b/tests/relay_bus.cpp
@@ -267,7 +267,7 @@
     return m_hosts[host] && m_hosts[host]->fresh.mayDispatch(clockOf(host));
 }
 
-std::size_t relay_bus::dispatchers() const
+std::size_t relay_bus::dispatcherCount() const
 {
     std::size_t number = 0;
     for (std::size_t i = 0; i < m_hosts.size(); ++i)
@@ -275,7 +275,7 @@
     return number;
 }
 
-std::size_t relay_bus::holders(generation_number generation) const
+std::size_t relay_bus::adoptedCount(generation_number generation) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         m_hosts, [generation](const auto &host) { return host && host->fresh.generation() >= generation; }));
--- a/tests/relay_bus.h
+++ b/tests/relay_bus.h
@@ -40,11 +40,13 @@
     [[nodiscard]] relay &relayOf(std::size_t host);
     [[nodiscard]] const freshness &freshnessOf(std::size_t host) const;
     [[nodiscard]] bool mayDispatch(std::size_t host) const;
-    [[nodiscard]] std::size_t count() const { return m_hosts.size(); }
+    [[nodiscard]] std::size_t hostCount() const { return m_hosts.size(); }
     [[nodiscard]] instant now() const { return m_now; }
     [[nodiscard]] instant clockOf(std::size_t host) const;
-    [[nodiscard]] std::size_t dispatchers() const;
-    [[nodiscard]] std::size_t holders(generation_number generation) const;
+    /// @returns the number of hosts that may dispatch.
+    [[nodiscard]] std::size_t dispatcherCount() const;
+    /// @returns the number of hosts that have adopted the generation or a newer one.
+    [[nodiscard]] std::size_t adoptedCount(generation_number generation) const;
     [[nodiscard]] std::vector<std::size_t> roots() const;
     [[nodiscard]] generation_number published() const { return m_generation; }
     [[nodiscard]] const bus_counts &countsOf(std::size_t host) const { return m_counts[host]; }
--- a/tests/test_feed_relay.cpp
+++ b/tests/test_feed_relay.cpp
@@ -97,7 +97,7 @@
     CHECK(other.next(3s) == nullptr); // falls back to the store
     CHECK(*other.next(1s + relay_choice::kFailureBackoff) == first);
     other.recordFailure(first, true, 4s);
-    CHECK(*other.next(4s) == first); // a relay learns first that the store is reachable again
+    CHECK(*other.next(4s) == first); // not skipped while the store is unreachable: a relay detects its recovery first
     CHECK(relay_choice("c", {}, kFirstRelay).next(1s) == nullptr);
     int onFirst = 0;
     for (int i = 0; i < 100; ++i)
@@ -175,16 +175,16 @@
     }
     // At most one watch per kind and change, by the relay alone.
     CHECK(net.store.calls - callsBefore < 30);
-    CHECK(net.hosts[0]->recorder.fleetSize == 8); // one relay
-    net.relay->recorder.own = {{"r1", 1, 5}};
-    net.hosts[1]->recorder.own = {{"r1", 2, 10}};
-    net.hosts[2]->recorder.own = {{"r1", 4, 20}};
+    CHECK(net.hosts[0]->recorder.fleetSize == 8); // 8 hosts that query the relay, times one relay
+    net.relay->recorder.ownLoads = {{"r1", 1, 5}};
+    net.hosts[1]->recorder.ownLoads = {{"r1", 2, 10}};
+    net.hosts[2]->recorder.ownLoads = {{"r1", 4, 20}};
     CHECK(net.runUntil([&] {
-        const auto &others = net.hosts[1]->recorder.others;
+        const auto &others = net.hosts[1]->recorder.othersLoads;
         return others.size() == 1 && others[0].running == 5 && others[0].backlogMs == 25;
     }));
     CHECK(net.runUntil([&] {
-        const auto &others = net.relay->recorder.others;
+        const auto &others = net.relay->recorder.othersLoads;
         return others.size() == 1 && others[0].running == 6;
     }));
     net.store.remove("servers", "more-0");
@@ -198,10 +198,10 @@
 
 TEST_CASE("feed relay: after it stops or loses the store, the hosts read the store themselves")
 {
-    for (const bool isGone : {true, false}) {
+    for (const bool isRelayStopped : {true, false}) {
         relayed_hosts net(8);
         REQUIRE(net.runUntil([&] { return net.allRecorded("relay_followed 127.0.0.1"); }));
-        if (isGone)
+        if (isRelayStopped)
             net.relay.reset();
         else
             net.store.setState(store_state::silent);
--- a/tests/test_relay.cpp
+++ b/tests/test_relay.cpp
@@ -19,7 +19,7 @@
     const auto start = bus.now();
     while (bus.now() - start < 20s) {
         bus.run(5ms);
-        if (bus.holders(bus.published()) == bus.count())
+        if (bus.adoptedCount(bus.published()) == bus.hostCount())
             return bus.now() - start;
     }
     return std::nullopt;
@@ -40,7 +40,7 @@
 /// Adds 10 passed responses at each running host.
 void addEverywhere(relay_bus &bus)
 {
-    for (std::size_t i = 0; i < bus.count(); ++i)
+    for (std::size_t i = 0; i < bus.hostCount(); ++i)
         if (bus.isRunning(i))
             bus.relayOf(i).addEvidence({passedCount(10)});
 }
@@ -63,14 +63,14 @@
     relay_bus bus(9, kPeriod, 8);
     bus.run(5s);
     CHECK(bus.roots() == std::vector<std::size_t>{0});
-    CHECK(bus.dispatchers() == 9);
+    CHECK(bus.dispatcherCount() == 9);
     bus.publish();
     const auto time = runUntilAdopted(bus);
     REQUIRE(time.has_value());
     MESSAGE("9 hosts: change to all in ", time->count() / 1000, " ms of virtual time");
     CHECK(*time < 1s);
     bus.run(2s);
-    CHECK(bus.dispatchers() == 9);
+    CHECK(bus.dispatcherCount() == 9);
     for (std::size_t i = 0; i < 9; ++i)
         CHECK(bus.relayOf(i).acknowledgedCount() == 9);
 }
@@ -83,9 +83,9 @@
         bus.publish();
         for (int i = 0; i < 200; ++i) {
             bus.run(5ms);
-            CHECK(bus.dispatchers() == 30);
+            CHECK(bus.dispatcherCount() == 30);
         }
-        CHECK(bus.holders(bus.published()) == 30);
+        CHECK(bus.adoptedCount(bus.published()) == 30);
     }
 }
 
@@ -95,14 +95,14 @@
     bus.run(5s);
     bus.setStoreUp(false);
     bus.run(20s);
-    CHECK(bus.dispatchers() == 9);
+    CHECK(bus.dispatcherCount() == 9);
     bus.isolate({0, 1, 2});
     bus.run(20s);
     for (std::size_t i = 0; i < 9; ++i)
         CHECK(bus.mayDispatch(i) == (i > 2));
     bus.isolate({});
     bus.run(20s);
-    CHECK(bus.dispatchers() == 9);
+    CHECK(bus.dispatcherCount() == 9);
     CHECK(bus.roots() == std::vector<std::size_t>{0});
 }
 
@@ -110,16 +110,16 @@
 {
     relay_bus bus(30, kPeriod, 3);
     bus.run(8s);
-    REQUIRE(bus.dispatchers() == 30);
+    REQUIRE(bus.dispatcherCount() == 30);
     bus.kill(1);
     for (int i = 0; i < 100; ++i) {
         bus.run(100ms);
-        CHECK(bus.dispatchers() == 29);
+        CHECK(bus.dispatcherCount() == 29);
     }
     bus.kill(0);
     for (int i = 0; i < 100; ++i) {
         bus.run(100ms);
-        CHECK(bus.dispatchers() == 28);
+        CHECK(bus.dispatcherCount() == 28);
     }
 }
 
@@ -134,8 +134,8 @@
     bus.start(0);
     bus.run(30s);
     CHECK(bus.roots() == std::vector<std::size_t>{0});
-    CHECK(bus.holders(2) == 30);
-    CHECK(bus.dispatchers() == 30);
+    CHECK(bus.adoptedCount(2) == 30);
+    CHECK(bus.dispatcherCount() == 30);
 }
 
 TEST_CASE("relay: after a partition a change reaches the other side through a child while the store is down")
@@ -147,12 +147,12 @@
     bus.run(4s);
     bus.publish();
     bus.run(6s);
-    REQUIRE(bus.holders(2) == 6);
+    REQUIRE(bus.adoptedCount(2) == 6);
     bus.setStoreUp(false);
     bus.isolate({});
     bus.run(20s);
-    CHECK(bus.holders(2) == 9);
-    CHECK(bus.dispatchers() == 9);
+    CHECK(bus.adoptedCount(2) == 9);
+    CHECK(bus.dispatcherCount() == 9);
 }
 
 TEST_CASE("relay: a partition without any of its ancestors has one root and continues if it is a majority")
@@ -166,7 +166,7 @@
     bus.isolate(lower);
     bus.run(20s);
     CHECK(bus.roots() == std::vector<std::size_t>{0, 25});
-    CHECK(bus.dispatchers() == 35);
+    CHECK(bus.dispatcherCount() == 35);
 }
 
 TEST_CASE("relay: evidence reaches all hosts once")
@@ -175,7 +175,7 @@
     bus.run(5s);
     addEverywhere(bus);
     bus.run(80s);
-    for (std::size_t i = 0; i < bus.count(); ++i) {
+    for (std::size_t i = 0; i < bus.hostCount(); ++i) {
         CHECK(passedTotal(bus, i) == 300);
         CHECK(bus.relayOf(i).countsOfOthers().at({{}, "v1"})[0] == 290);
     }
@@ -188,10 +188,10 @@
     addEverywhere(bus);
     // By then every host has sent a call with its counts; the halt makes each one send a second call.
     bus.run(kPeriod + 20ms);
-    for (std::size_t i = 1; i < bus.count(); ++i)
+    for (std::size_t i = 1; i < bus.hostCount(); ++i)
         bus.relayOf(i).halt("v" + std::to_string(i), bus.clockOf(i));
     bus.run(20s);
-    for (std::size_t i = 0; i < bus.count(); ++i)
+    for (std::size_t i = 0; i < bus.hostCount(); ++i)
         CHECK(passedTotal(bus, i) == 90);
 }
 
@@ -212,13 +212,13 @@
                 bus.isolate(random() % 2 == 0 ? std::set<std::size_t>{victim, victim + 1, victim + 5}
                                               : std::set<std::size_t>{});
             addEverywhere(bus);
-            for (std::size_t i = 0; i < bus.count(); ++i)
+            for (std::size_t i = 0; i < bus.hostCount(); ++i)
                 added += bus.isRunning(i) ? 10 : 0;
             bus.run(instant(std::chrono::milliseconds(random() % 1500)));
         }
         bus.isolate({});
         bus.run(200s);
-        for (std::size_t i = 0; i < bus.count(); ++i) {
+        for (std::size_t i = 0; i < bus.hostCount(); ++i) {
             if (!bus.isRunning(i))
                 continue;
             CHECK(passedTotal(bus, i) <= added);
@@ -236,7 +236,7 @@
     bus.relayOf(25).halt("v9", bus.clockOf(25));
     bus.relayOf(26).addQuarantined(77, bus.clockOf(26));
     bus.run(kPeriod);
-    for (std::size_t i = 0; i < bus.count(); ++i) {
+    for (std::size_t i = 0; i < bus.hostCount(); ++i) {
         CHECK(bus.relayOf(i).shared().haltedVersions() == std::vector<std::string>{"v9"});
         CHECK(bus.relayOf(i).shared().quarantined() == std::vector<std::uint64_t>{77});
     }
@@ -262,7 +262,7 @@
     relay_bus bus(350, 500ms, 8);
     bus.run(10s);
     CHECK(bus.roots() == std::vector<std::size_t>{0});
-    CHECK(bus.dispatchers() == 350);
+    CHECK(bus.dispatcherCount() == 350);
     bus.publish();
     const auto time = runUntilAdopted(bus);
     REQUIRE(time.has_value());
@@ -284,5 +284,5 @@
             largest / 20, ", store reads/s ", bus.storeReads() / 20);
     bus.setStoreUp(false);
     bus.run(20s);
-    CHECK(bus.dispatchers() == 350);
+    CHECK(bus.dispatcherCount() == 350);
 }
