--- a/tests/failure_gateway.cpp
+++ b/tests/failure_gateway.cpp
@@ -236,7 +236,7 @@
     fixture.store.setState(store_state::silent);
     fixture.runFor(1200ms); // longer than the lease
     fixture.signal(SIGCONT);
-    CHECK(fixture.sendRequest(onceRequest("id-2")).head.status == 503); // it can't know whether the key is still valid
+    CHECK(fixture.sendRequest(onceRequest("id-2")).head.status == 503); // the validity of the key cannot be checked
     CHECK(fixture.readiness() == 503);
     fixture.store.setState(store_state::serving);
     // A response that arrived while the process was suspended delivers the version but must not renew the lease.
@@ -377,7 +377,7 @@
     constexpr int kRequests = 60;
     for (int i = 0; i < kRequests; ++i)
         gateway.sendRequest(safeRequest("id-" + std::to_string(i)));
-    // 0.2 of the requests, plus a sixteenth of the slack of 160.
+    // 0.2 of the 60 requests, plus this host's share of the slack: a sixteenth of 160.
     CHECK(replica.requests.size() > kRequests);
     CHECK(replica.requests.size() <= kRequests + 12 + 10);
 }
--- a/tests/failure_path.cpp
+++ b/tests/failure_path.cpp
@@ -18,7 +18,8 @@
 
 } // namespace
 
-// Guards against a fault anywhere on the path between caller, router, upstream and ledger.
+// Guards against programs that work separately but not together: each request passes from the caller through router,
+// upstream and ledger.
 TEST_CASE("path: every kind gets a complete response, runs once and is billed once")
 {
     deployment fleet(1);
--- a/tests/failure_platform.cpp
+++ b/tests/failure_platform.cpp
@@ -67,7 +67,7 @@
     CHECK(fleet.runsOfVersion("grand-1") == runs);
 }
 
-// Guards against a store outage that stops service, and against false "not run" refusals.
+// Guards against a store outage that stops service, and against "not run" for a request that has run.
 TEST_CASE("outage: hosts keep serving, non-idempotent requests are refused as not run, and service resumes")
 {
     three_host_deployment fleet;
@@ -142,8 +142,8 @@
     CHECK(fleet.refusesVersion(0, "reminder-draft"));
 }
 
-// Guards against a majority formed with acknowledgements of hosts that already know of a newer state, and against
-// service on the wrong side of a partition during a store outage.
+// Guards against a majority formed with acknowledgements of hosts that have already received a newer generation, and
+// against service on the wrong side of a partition during a store outage.
 TEST_CASE("cut during an outage: the minority refuses while the majority serves")
 {
     three_host_deployment fleet;
@@ -177,7 +177,7 @@
     }
 }
 
-// Guards against a slow store breaking guarantees that hold with a fast one.
+// Guards against a second run of a non-idempotent request when the store takes long to write its claim.
 TEST_CASE("slow store: non-idempotent requests still run once")
 {
     three_host_deployment fleet;
--- a/tests/failure_requests.cpp
+++ b/tests/failure_requests.cpp
@@ -122,7 +122,7 @@
     CHECK(bodyOf(response).value("reason", "") == "answer_truncated");
 }
 
-// Guards against text of another request in a response.
+// Guards against text of another request in a response when an upstream mixes events of other attempts into its stream.
 TEST_CASE("upstream: responses to other requests are discarded and the caller gets its own")
 {
     standard_deployment fleet;
--- a/tests/test_balancer.cpp
+++ b/tests/test_balancer.cpp
@@ -1,4 +1,5 @@
-// Tests the balancer: no hot spots, no requests to leaving or failing replicas, no lookups that wait behind drafts.
+// Tests the balancer: no hot spots, no requests to leaving or failing replicas, no short interactive requests (lookups)
+// that wait behind long batch requests (drafts).
 #include "balancer_p.h"
 
 #include <doctest/doctest.h>
@@ -117,20 +118,20 @@
         choice.recordStart(name);
         choice.recordEnd(name, attempt_failure::connection_lost, now);
     };
-    const pick_request notOther{.service = "pool", .version = "v1", .exclude = "r1"};
+    const pick_request exceptR1{.service = "pool", .version = "v1", .exclude = "r1"};
     for (int i = 0; i < 3; ++i)
         fail("r0", 1s);
-    CHECK(pickName(choice, notOther, 2s).empty());
-    CHECK(pickName(choice, notOther, 7s) == "r0");
+    CHECK(pickName(choice, exceptR1, 2s).empty());
+    CHECK(pickName(choice, exceptR1, 7s) == "r0");
     choice.recordStart("r0");
-    CHECK(pickName(choice, notOther, 7s).empty());
+    CHECK(pickName(choice, exceptR1, 7s).empty());
     choice.recordEnd("r0", attempt_failure::timed_out, 8s);
-    CHECK(pickName(choice, notOther, 14s).empty());
-    CHECK(pickName(choice, notOther, 19s) == "r0");
+    CHECK(pickName(choice, exceptR1, 14s).empty());
+    CHECK(pickName(choice, exceptR1, 19s) == "r0");
     choice.recordStart("r0");
     choice.recordEnd("r0", std::nullopt, 20s);
     choice.recordStart("r0");
-    CHECK(pickName(choice, notOther, 20s) == "r0");
+    CHECK(pickName(choice, exceptR1, 20s) == "r0");
 }
 
 TEST_CASE("balancer keeps the last circuit of a pool closed")
@@ -150,7 +151,8 @@
 
 TEST_CASE("hosts do not fill the interactive reserve between two load reports")
 {
-    // All hosts see the same free slots. When each host filled them at once, lookups had to wait for a whole draft.
+    // All hosts receive the same report of free slots. If all hosts fill them at once, lookups have to wait for a
+    // whole draft.
     balancer choice("a", 1);
     choice.setUpstreams(replicas(4, 5));
     for (const auto *name : {"r0", "r1", "r2", "r3"})
--- a/tests/test_controller.cpp
+++ b/tests/test_controller.cpp
@@ -193,6 +193,7 @@
 TEST_CASE("a process that doesn't know the hosts before its first generation waits for the lease")
 {
     acceptance changes;
+    // The history holds only the last 64 changes; an earlier one may have removed a host that still holds a lease.
     auto history = plainHistory(80);
     history.erase(history.begin(), history.begin() + 16);
     changes.recordConfiguration(documentOf(controlLayers(3), 80, history));
@@ -230,6 +231,7 @@
         CHECK_FALSE((holder.control.isHolder() && other.control.isHolder()));
     }
     CHECK(other.control.isHolder());
+    // The reasons of these events contain the tokens.
     CHECK(other.events.back().reason > holder.events.front().reason);
 }
 
--- a/tests/test_failure_support.cpp
+++ b/tests/test_failure_support.cpp
@@ -1,4 +1,4 @@
-// Support for tests with real processes.
+// Tests the support for tests with real processes; see failure_support.h.
 #include "failure_support.h"
 
 #include <arpa/inet.h>
@@ -30,8 +30,8 @@
 
 } // namespace
 
-// Guards against two programs of a deployment with the same port, so that one of them ends at its start: an unreserved
-// port can be assigned again to the next socket that binds port 0.
+// Guards against two programs of a deployment that get the same port, so that one of them fails to start: without
+// a reservation the kernel can assign a port again to the next socket that binds port 0.
 TEST_CASE("ports: a reserved port is given to no other socket until a program listens on it")
 {
     const auto port = testing::reservePort();
--- a/tests/test_golden.cpp
+++ b/tests/test_golden.cpp
@@ -1,6 +1,6 @@
 // Golden tests, one for each request kind of both deployments. Each runs a complete session through the decision core
 // in virtual time and compares its transcript with tests/golden/NAME.txt. They detect unintended changes to what
-// callers, upstreams, the ledger or the timeline see. FOXTAILDYKE_GOLDEN_UPDATE=1 writes the files instead; see
+// callers, upstreams, the ledger or the timeline receive. FOXTAILDYKE_GOLDEN_UPDATE=1 writes the files instead; see
 // scripts/golden.
 #include "golden_p.h"
 
