--- a/tests/test_admin_api.cpp
+++ b/tests/test_admin_api.cpp
@@ -51,7 +51,7 @@
     {
         m_response = std::make_shared<std::optional<admin_response>>();
         request.authorization = "Bearer " + key;
-        api.handle(request, [response = m_response](admin_response one) { *response = std::move(one); });
+        api.handle(request, [response = m_response](admin_response received) { *response = std::move(received); });
         return *m_response;
     }
 
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -87,12 +87,12 @@
         waits.insert(gate.admit(config, kAccount, 0s).retryAfter);
     CHECK(waits.size() >= 15);
     CHECK(*waits.rbegin() >= 1500ms);
-    std::set<std::chrono::milliseconds> spreads;
+    std::set<std::chrono::milliseconds> jitteredDelays;
     for (int i = 0; i < 20; ++i)
-        spreads.insert(gate.addJitter(1000ms));
-    CHECK(spreads.size() >= 15);
-    CHECK(*spreads.begin() >= 1000ms);
-    CHECK(*spreads.rbegin() <= 1500ms);
+        jitteredDelays.insert(gate.addJitter(1000ms));
+    CHECK(jitteredDelays.size() >= 15);
+    CHECK(*jitteredDelays.begin() >= 1000ms);
+    CHECK(*jitteredDelays.rbegin() <= 1500ms);
 }
 
 TEST_CASE("the queue serves classes strictly and accounts by weight")
--- a/tests/test_control_property.cpp
+++ b/tests/test_control_property.cpp
@@ -190,17 +190,17 @@
             leases.push_back(std::make_unique<controller_lease>(store, name));
         instant now{1};
         std::vector<instant> pausedUntil(leases.size());
-        std::uint64_t highest = 0;
-        std::optional<std::size_t> last;
+        std::uint64_t highestToken = 0;
+        std::optional<std::size_t> lastHolder;
         for (int i = 0; i < 3000; ++i) {
             now += milliseconds(random() % 120);
             if (random() % 200 == 0)
                 pausedUntil[random() % leases.size()] = now + milliseconds(random() % 15000);
             if (random() % 150 == 0)
                 store.outage = random() % 4 == 0;
-            for (std::size_t one = 0; one < leases.size(); ++one)
-                if (now >= pausedUntil[one])
-                    leases[one]->tick(now, milliseconds(1000));
+            for (std::size_t candidate = 0; candidate < leases.size(); ++candidate)
+                if (now >= pausedUntil[candidate])
+                    leases[candidate]->tick(now, milliseconds(1000));
             store.step();
             store.step();
             const auto mayAct = [now](const auto &lease) {
@@ -211,11 +211,11 @@
             if (holder == leases.end())
                 continue;
             const auto index = static_cast<std::size_t>(holder - leases.begin());
-            const auto minToken = last == index ? highest : highest + 1;
+            const auto minToken = lastHolder == index ? highestToken : highestToken + 1;
             RC_ASSERT((*holder)->token() >= minToken);
-            terms += last == index ? 0 : 1;
-            highest = (*holder)->token();
-            last = index;
+            terms += lastHolder == index ? 0 : 1;
+            highestToken = (*holder)->token();
+            lastHolder = index;
         }
     }));
     CHECK(terms > 300); // On average, more than one change of the holder per case.
--- a/tests/test_core_properties.cpp
+++ b/tests/test_core_properties.cpp
@@ -62,7 +62,7 @@
     std::map<attempt_token, attempt_entry> m_attempts;
     std::map<attempt_token, attempt_failure>
         m_failures; ///< reported failures; no entry for attempts in flight or completed
-    std::set<attempt_token> m_inFlight; ///< in flight
+    std::set<attempt_token> m_inFlight; ///< started, and neither ended nor cancelled
     std::map<std::string, std::uint32_t> m_crashes; ///< number of lost connections, by fingerprint
     std::set<attempt_token> m_executed; ///< attempts that sent text or completed
     std::map<request_token, int> m_finishes;
@@ -178,8 +178,8 @@
     expect(++m_finishes[action.request] == 1, "one final response", action.request);
     const bool notRun = action.outcome == outcome_kind::not_run || action.outcome == outcome_kind::invalid;
     expect(!notRun || sentAttempts(action.request) == 0, "not_run only if nothing was sent", action.request);
-    const bool isFresh = action.outcome == outcome_kind::complete && action.storedResponse.empty();
-    expect(!isFresh || m_bills[action.request] == 1, "bill before a complete response", action.request);
+    const bool isNewResponse = action.outcome == outcome_kind::complete && action.storedResponse.empty();
+    expect(!isNewResponse || m_bills[action.request] == 1, "bill before a complete response", action.request);
 }
 
 void rule_checker::finish()
--- a/tests/test_evidence.cpp
+++ b/tests/test_evidence.cpp
@@ -57,7 +57,7 @@
 
 TEST_CASE("evidence rejects a bad version within 20 responses on average, early and late")
 {
-    // Guards against a score that good responses of the past keep low.
+    // Guards against a score that stays low because of good responses in the past.
     const auto config = configWithRollout(9);
     for (const int goodBefore : {0, 1000}) {
         rating_source source{std::mt19937_64{11}};
@@ -141,20 +141,20 @@
 {
     // The relay's totals include this host's own deltas; counted twice, they would halve the evidence needed.
     const auto config = configWithRollout(2);
-    evidence_table one("h0");
-    evidence_table all("h0");
-    one.recordResult("swift-2", false);
-    const auto own = one.takeDeltas();
+    evidence_table merged("h0");
+    evidence_table reference("h0");
+    merged.recordResult("swift-2", false);
+    const auto own = merged.takeDeltas();
     REQUIRE(own.size() == 1);
-    CHECK(one.takeDeltas().empty());
+    CHECK(merged.takeDeltas().empty());
     const std::vector<version_evidence> totals{{"swift-2", 2, 3, 5, 5}};
-    one.setTotals(totals, instant{1}, own);
-    one.setTotals(totals, instant{2}, own);
-    CHECK_FALSE(one.isRejected(config, kNew));
+    merged.setTotals(totals, instant{1}, own);
+    merged.setTotals(totals, instant{2}, own);
+    CHECK_FALSE(merged.isRejected(config, kNew));
     for (const bool passed : {false, false, false, true, true})
-        all.recordResult("swift-2", passed);
-    CHECK_FALSE(all.isRejected(config, kNew));
-    CHECK(one.score("swift-2") == doctest::Approx(all.score("swift-2")));
+        reference.recordResult("swift-2", passed);
+    CHECK_FALSE(reference.isRejected(config, kNew));
+    CHECK(merged.score("swift-2") == doctest::Approx(reference.score("swift-2")));
 }
 
 TEST_CASE("evidence keeps a rejection, and treats smaller totals of a restarted relay as a new base")
--- a/tests/test_gateway_decisions.cpp
+++ b/tests/test_gateway_decisions.cpp
@@ -39,16 +39,16 @@
     return entries;
 }
 
-attempt_outcome makeFacts(attempt_result result, bool mayRetry, bool mayHaveRun)
+attempt_outcome makeOutcome(attempt_result result, bool mayRetry, bool mayHaveRun)
 {
-    attempt_outcome facts;
-    facts.result = result;
-    facts.mayRetry = mayRetry;
-    facts.mayHaveRun = mayHaveRun;
-    facts.sends = 1;
-    facts.maxSends = 3;
-    facts.left = 1s;
-    return facts;
+    attempt_outcome outcome;
+    outcome.result = result;
+    outcome.mayRetry = mayRetry;
+    outcome.mayHaveRun = mayHaveRun;
+    outcome.sends = 1;
+    outcome.maxSends = 3;
+    outcome.left = 1s;
+    return outcome;
 }
 
 rollout_order makeOrder(rollout_state state = rollout_state::in_progress, std::uint32_t stage = 0)
@@ -67,26 +67,26 @@
 TEST_CASE("attempt rules: next step after each result of an attempt")
 {
     using result = attempt_result;
-    CHECK(nextStepAfter(makeFacts(result::answered, false, true)) == next_step::pass_on);
-    CHECK(nextStepAfter(makeFacts(result::broken, false, true)) == next_step::fail);
-    CHECK(nextStepAfter(makeFacts(result::broken, true, true)) == next_step::retry);
-    CHECK(nextStepAfter(makeFacts(result::not_run, false, false)) == next_step::retry);
-    CHECK(nextStepAfter(makeFacts(result::server_error, false, true)) == next_step::pass_on);
-    CHECK(nextStepAfter(makeFacts(result::server_error, true, true)) == next_step::retry);
-
-    auto last = makeFacts(result::not_run, false, false);
+    CHECK(nextStepAfter(makeOutcome(result::answered, false, true)) == next_step::pass_on);
+    CHECK(nextStepAfter(makeOutcome(result::broken, false, true)) == next_step::fail);
+    CHECK(nextStepAfter(makeOutcome(result::broken, true, true)) == next_step::retry);
+    CHECK(nextStepAfter(makeOutcome(result::not_run, false, false)) == next_step::retry);
+    CHECK(nextStepAfter(makeOutcome(result::server_error, false, true)) == next_step::pass_on);
+    CHECK(nextStepAfter(makeOutcome(result::server_error, true, true)) == next_step::retry);
+
+    auto last = makeOutcome(result::not_run, false, false);
     last.sends = last.maxSends;
     CHECK(nextStepAfter(last) == next_step::refuse);
     last.mayHaveRun = true; // an earlier attempt may have run
     CHECK(nextStepAfter(last) == next_step::fail);
 
-    auto begun = makeFacts(result::broken, true, true);
+    auto begun = makeOutcome(result::broken, true, true);
     begun.hasCallerBytes = true;
     CHECK(nextStepAfter(begun) == next_step::retry);
     begun.sends = begun.maxSends;
     CHECK(nextStepAfter(begun) == next_step::cut_off);
 
-    auto late = makeFacts(result::broken, true, true);
+    auto late = makeOutcome(result::broken, true, true);
     late.left = 5ms;
     CHECK(nextStepAfter(late) == next_step::fail);
 }
@@ -96,9 +96,9 @@
     for (int result = 0; result < static_cast<int>(attempt_result::count); ++result)
         for (const bool mayRetry : {false, true})
             for (const std::uint32_t sends : {1U, 3U}) {
-                auto facts = makeFacts(static_cast<attempt_result>(result), mayRetry, true);
-                facts.sends = sends;
-                CHECK(nextStepAfter(facts) != next_step::refuse);
+                auto outcome = makeOutcome(static_cast<attempt_result>(result), mayRetry, true);
+                outcome.sends = sends;
+                CHECK(nextStepAfter(outcome) != next_step::refuse);
             }
 }
 
@@ -334,10 +334,10 @@
 
 TEST_CASE("load aggregator: sums of the reporting hosts, and an estimate for the hosts of other relays")
 {
-    load_aggregator board;
-    board.set("a", {{"r1", 2, 30}}, 1s);
-    board.set("b", {{"r1", 1, 10}, {"r2", 4, 0}}, 1s);
-    const auto totals = board.totals(1s);
+    load_aggregator aggregator;
+    aggregator.set("a", {{"r1", 2, 30}}, 1s);
+    aggregator.set("b", {{"r1", 1, 10}, {"r2", 4, 0}}, 1s);
+    const auto totals = aggregator.totals(1s);
     REQUIRE(totals.size() == 2);
     CHECK(totals[0].running == 3);
     CHECK(totals[0].backlogMs == 40);
@@ -345,8 +345,8 @@
     CHECK(others[0].running == 7);
     CHECK(others[0].backlogMs == 90);
     CHECK(others[1].running == 12);
-    board.set("b", {}, 2s);
-    CHECK(board.totals(2s + load_aggregator::kReportLifetime - 1ms).empty()); // the report of "a" has expired
+    aggregator.set("b", {}, 2s);
+    CHECK(aggregator.totals(2s + load_aggregator::kReportLifetime - 1ms).empty()); // the report of "a" has expired
 }
 
 TEST_CASE("retry budget: the slack is divided among all hosts of a large fleet")
@@ -359,7 +359,7 @@
         ++retries;
     CHECK(retries > 0);
     CHECK(retries * kHosts <= 216);
-    budget.setHosts(3); // hosts that went down may return before this host learns of it
+    budget.setHosts(3); // hosts that went down may return before the number is updated
     CHECK(budget.tryConsumeRetry("t", retry_reason::failure, 1s));
 }
 
@@ -376,7 +376,7 @@
     for (std::uint32_t stage = 0; stage < 4; ++stage) {
         const auto order = makeOrder(rollout_state::in_progress, stage);
         host.setOrders({order}, 1s);
-        another.setOrders({order}, 3s); // hasn't seen any of the sessions
+        another.setOrders({order}, 3s); // has chosen a version for none of the sessions yet
         std::size_t onNew = 0;
         for (const auto key : keys) {
             const bool isNew = host.choose("s", key).version == "v2";
@@ -482,14 +482,14 @@
     const std::string text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\ndata: cut";
     for (std::size_t piece = 1; piece < 30; ++piece) {
         event_splitter splitter;
-        std::string passed;
+        std::string emitted;
         std::vector<std::optional<std::uint64_t>> ids;
         for (std::size_t at = 0; at < text.size(); at += piece)
             splitter.feed(std::string_view(text).substr(at, piece), [&](std::string_view event, auto id) {
-                passed.append(event);
+                emitted.append(event);
                 ids.push_back(id);
             });
-        CHECK(passed + std::string(splitter.rest()) == text);
+        CHECK(emitted + std::string(splitter.rest()) == text);
         CHECK(splitter.rest() == "id: 4\ndata: cut");
         CHECK(ids == std::vector<std::optional<std::uint64_t>>{1, 2, std::nullopt});
     }
--- a/tests/test_gateway_path.cpp
+++ b/tests/test_gateway_path.cpp
@@ -99,19 +99,19 @@
 TEST_CASE("gateway: an at-most-once request is retried only if it has certainly not run")
 {
     gateway_harness harness;
-    std::vector<replica_script> first;
-    scripted_replica one(harness.loop, "r1", [&](const received_request &) { return first.back(); });
+    std::vector<replica_script> scripts;
+    scripted_replica one(harness.loop, "r1", [&](const received_request &) { return scripts.back(); });
     harness.publish(gateway_harness::makeConfig());
     harness.publishReplicas({one.entry("s")});
 
-    first.push_back({.bytes = "", .resets = true});
+    scripts.push_back({.bytes = "", .resets = true});
     scripted_caller lost(harness.loop, harness.task.callerPort());
     lost.send(requestText("POST", "/once/x", "id1"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(lost, 1); }));
     CHECK(lost.responses[0].head.status == 502); // the request may have run
     CHECK(one.requests.size() == 1);
 
-    first.push_back({.bytes = notRunText()});
+    scripts.push_back({.bytes = notRunText()});
     scripted_caller shed(harness.loop, harness.task.callerPort());
     shed.send(requestText("POST", "/once/x", "id2"));
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(shed, 1); }));
@@ -353,7 +353,7 @@
     harness.publish(gateway_harness::makeConfig());
     harness.publishReplicas({replica.entry("s")});
     scripted_caller caller(harness.loop, harness.task.callerPort());
-    caller.send(requestText("POST", "/once/x", "id1")); // waits for 5,000 ms; the route for 1,000 ms
+    caller.send(requestText("POST", "/once/x", "id1")); // deadline 5,000 ms; the route's timeout is 1,000 ms
     REQUIRE(harness.runUntil([&] { return hasCompleteResponses(caller, 1); }));
     REQUIRE(deadlines.size() == 2);
     CHECK(deadlines[0] <= 1000);
--- a/tests/test_ledger_segment.cpp
+++ b/tests/test_ledger_segment.cpp
@@ -117,9 +117,9 @@
         RC_ASSERT(readFromScratch(m_store, 0) == history);
         for (const auto &sent : m_sent) {
             RC_ASSERT(sent->outcome.has_value());
-            checkReply(*sent, history);
+            checkOutcome(*sent, history);
         }
-        checkSnapshots();
+        checkNoWaitingRecords();
     }
 
 private:
@@ -146,7 +146,7 @@
         return makeRecord(type, key, "writer-" + std::to_string(m_sent.size()));
     }
 
-    static void checkReply(const sent_record &sent, const effective_writers &history)
+    static void checkOutcome(const sent_record &sent, const effective_writers &history)
     {
         const auto &record = sent.record;
         const auto found = history.find(std::string(nameOf(record.type)) + " " + record.id);
@@ -159,7 +159,7 @@
             RC_ASSERT(found != history.end());
     }
 
-    void checkSnapshots()
+    void checkNoWaitingRecords()
     {
         for (const auto &host : m_hosts) {
             if (host->segment().isLoaded())
@@ -275,13 +275,13 @@
         if (!records.empty())
             head.parts.push_back(
                 {"part", store.write("part", encodeRecords("snapshot", records), 0).value(), INT64_MAX});
-        objectWrite(headKey(0), encodeHead(head));
-        objectWrite(floorKey(0), std::to_string(index));
+        putObject(headKey(0), encodeHead(head));
+        putObject(floorKey(0), std::to_string(index));
         for (log_index at = 0; at < index; ++at)
             store.objects.erase(batchKey(0, at));
     }
 
-    void objectWrite(const std::string &key, const std::string &body)
+    void putObject(const std::string &key, const std::string &body)
     {
         store.objects[key] = {body, ++store.lastVersion};
     }
@@ -290,7 +290,7 @@
     std::function<void(const std::string &)> beforeRead;
 };
 
-/// A segment that has read the log while it was empty, and the outcome of its append.
+/// A segment that read the log before any batch was written, and the outcome of its append.
 struct stale_segment {
     scripted_store store;
     ledger_segment segment{store, 0, "stale", 1h};
@@ -373,7 +373,7 @@
     const auto claim = makeRecord(record_type::claim, "a", "w");
     stale.store.compact(5, {});
     // Written by a second writer with an equally stale index, which sent the same record earlier.
-    stale.store.objectWrite(batchKey(0, 0), encodeRecords("second-1", {claim}));
+    stale.store.putObject(batchKey(0, 0), encodeRecords("second-1", {claim}));
     stale.append(claim);
     REQUIRE(stale.outcome.has_value());
     CHECK(stale.outcome->status == ledger_status::written);
--- a/tests/test_policy.cpp
+++ b/tests/test_policy.cpp
@@ -25,7 +25,8 @@
 constexpr std::array kCandidates{cascade_candidate{version_handle{0}, 100, 300ms},
                                  cascade_candidate{version_handle{1}, 1000, 1000ms}};
 
-void learnMany(cascade_policy &policy, std::string_view version, int met, int missed)
+/// Records ratings that met and missed the target, evenly interleaved.
+void recordRatings(cascade_policy &policy, std::string_view version, int met, int missed)
 {
     for (int i = 0; i < met + missed; ++i)
         policy.recordRating("page-tag", version, i * met / (met + missed) != (i + 1) * met / (met + missed));
@@ -46,12 +47,12 @@
 {
     const auto config = configWithCascade();
     cascade_policy good;
-    learnMany(good, "cheap-1", 160, 40);
-    learnMany(good, "strong-1", 190, 10);
+    recordRatings(good, "cheap-1", 160, 40);
+    recordRatings(good, "strong-1", 190, 10);
     CHECK(cheapStarts(good, config) >= 950);
     cascade_policy poor;
-    learnMany(poor, "cheap-1", 10, 190);
-    learnMany(poor, "strong-1", 190, 10);
+    recordRatings(poor, "cheap-1", 10, 190);
+    recordRatings(poor, "strong-1", 190, 10);
     CHECK(cheapStarts(poor, config) <= 60);
 }
 
@@ -59,8 +60,8 @@
 {
     // With the same estimates, high latency weights select the fast cascade and high cost weights the cheap one.
     cascade_policy policy;
-    learnMany(policy, "cheap-1", 60, 140);
-    learnMany(policy, "strong-1", 196, 4);
+    recordRatings(policy, "cheap-1", 60, 140);
+    recordRatings(policy, "strong-1", 196, 4);
     CHECK(cheapStarts(policy, configWithCascade({.cost = 3, .latency = 0.5, .exposure = 1})) >= 900);
     constexpr std::array kSlowCheap{cascade_candidate{version_handle{0}, 100, 900ms},
                                     cascade_candidate{version_handle{1}, 1000, 1000ms}};
@@ -76,7 +77,7 @@
     // An unrated response of the cheap model would reach the caller even if it is wrong.
     const auto config = configWithCascade();
     cascade_policy policy;
-    learnMany(policy, "cheap-1", 199, 1);
+    recordRatings(policy, "cheap-1", 199, 1);
     CHECK(policy.choose(config, kKind, kCandidates, 10s, false).start == 1);
     CHECK(policy.choose(config, kKind, kCandidates, 1200ms, true).start == 1);
     auto unrated = config;
@@ -88,8 +89,8 @@
 {
     // Without decay, a long good history hides a change.
     cascade_policy policy;
-    learnMany(policy, "cheap-1", 9000, 1000);
-    learnMany(policy, "cheap-1", 0, 300);
+    recordRatings(policy, "cheap-1", 9000, 1000);
+    recordRatings(policy, "cheap-1", 0, 300);
     CHECK(policy.estimate("page-tag", "cheap-1").mean() < 0.3);
 }
 
@@ -97,8 +98,8 @@
 {
     const auto config = configWithCascade();
     cascade_policy policy;
-    learnMany(policy, "cheap-1", 20, 180);
-    learnMany(policy, "strong-1", 5000, 100);
+    recordRatings(policy, "cheap-1", 20, 180);
+    recordRatings(policy, "strong-1", 5000, 100);
     CHECK(cheapStarts(policy, config) <= 50);
     int cheapAtEnd = 0;
     for (std::uint64_t i = 1; i <= 20000; ++i) {
@@ -113,7 +114,7 @@
 {
     cascade_policy one;
     cascade_policy two;
-    learnMany(one, "cheap-1", 30, 10);
+    recordRatings(one, "cheap-1", 30, 10);
     two.mergeRemoteCounts(one.takeDeltas());
     CHECK(one.takeDeltas().empty());
     CHECK(two.takeDeltas().empty());
@@ -126,7 +127,7 @@
     // A waiting request is decided on several times; new random bits each time would eventually make it explore.
     const auto config = configWithCascade();
     cascade_policy policy;
-    learnMany(policy, "cheap-1", 20, 80);
+    recordRatings(policy, "cheap-1", 20, 80);
     for (std::uint64_t draw = 0; draw < 500; ++draw) {
         const auto first = policy.choose(config, kKind, kCandidates, 10s, true, draw);
         CHECK(policy.choose(config, kKind, kCandidates, 10s, true, draw).start == first.start);
--- a/tests/test_relay_task.cpp
+++ b/tests/test_relay_task.cpp
@@ -1,5 +1,5 @@
-// Relay tasks of three hosts over gRPC on the loopback address, with an in-memory store. Times are only timeouts of the
-// tests.
+// Relay tasks of three hosts over gRPC on the loopback address, with an in-memory store. The tests assert no
+// durations; their time limits only end a test that hangs.
 #include "relay_task_p.h"
 
 #include <doctest/doctest.h>
@@ -72,7 +72,7 @@
 public:
     three_hosts()
         : store(loop)
-        , m_check(loop, [this] { check(); })
+        , m_pollTimer(loop, [this] { poll(); })
     {
         for (std::size_t i = 0; i < 3; ++i)
             start(i, {"127.0.0.1", 0});
@@ -119,9 +119,9 @@
     bool runUntil(std::function<bool()> condition)
     {
         m_condition = std::move(condition);
-        m_giveUpAt = event_loop::now() + 20s;
+        m_deadline = event_loop::now() + 20s;
         m_holds = false;
-        m_check.start(0us);
+        m_pollTimer.start(0us);
         loop.run();
         return m_holds;
     }
@@ -136,18 +136,18 @@
     std::array<std::unique_ptr<relay_task>, 3> tasks;
 
 private:
-    void check()
+    void poll()
     {
         m_holds = m_condition();
-        if (m_holds || event_loop::now() >= m_giveUpAt)
+        if (m_holds || event_loop::now() >= m_deadline)
             return loop.stop();
-        m_check.start(5ms);
+        m_pollTimer.start(5ms);
     }
 
     std::function<bool()> m_condition;
-    instant m_giveUpAt{};
+    instant m_deadline{};
     bool m_holds = false;
-    loop_timer m_check;
+    loop_timer m_pollTimer;
 };
 
 } // namespace
