--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -10,7 +10,7 @@
 /// Periods after which a call fails, counted from the time at which the parent should have responded.
 constexpr int kResponseGracePeriods = 2;
 
-/// One call waits at the parent; a second one may carry updates, on which the parent responds to the first.
+/// One call waits at the parent. A second one may be sent to deliver updates; the parent then responds to the first.
 constexpr std::size_t kMaxCallsToParent = 2;
 
 /// Fleets up to this size propagate every growth of a count at once; larger ones delay small relative changes.
@@ -29,7 +29,7 @@
 /// Counts that change a sum by little are sent to the parent once in this many periods.
 constexpr std::uint64_t kDeltaPeriods = 32;
 
-/// Demand is compared with what the other side knows once in this many periods.
+/// Demand is compared with the values that the other side has received once in this many periods.
 constexpr std::uint64_t kDemandPeriods = 8;
 
 /// After a response the next call starts within period / kEarlyCallDivisor. Responses come early when there are
@@ -131,8 +131,8 @@
 bool relay::lacksFreshStamp(instant now) const
 {
     const auto &stamp = m_fresh.currentStamp();
-    const bool isHeld = stamp.generation != 0 && stamp.generation == m_fresh.generation();
-    return !isHeld || now - stamp.currentAt > 3 * m_fresh.lease() / 4;
+    const bool hasStamp = stamp.generation != 0 && stamp.generation == m_fresh.generation();
+    return !hasStamp || now - stamp.currentAt > 3 * m_fresh.lease() / 4;
 }
 
 void relay::tick(instant now)
@@ -157,9 +157,9 @@
         next = std::min(next, m_nextSearchAt);
     if (m_state == tree_state::child && callsToParent() == 0)
         next = std::min(next, m_nextCallAt);
-    for (const auto &[name, from] : m_children)
-        if (from.waitingCall)
-            next = std::min(next, from.waitingSince + period());
+    for (const auto &[name, child] : m_children)
+        if (child.waitingCall)
+            next = std::min(next, child.waitingSince + period());
     return next;
 }
 
@@ -179,7 +179,7 @@
     if (m_state != tree_state::child)
         return;
     const auto open = callsToParent();
-    // Until the parent's first response is echoed, it can't tell two calls of one child from two starts of the child.
+    // Until this host has echoed a clock value, the parent can't distinguish a second call from one after a restart.
     const auto limit = m_link.echo == instant{} ? 1 : kMaxCallsToParent;
     if ((open == 0 && now >= m_nextCallAt) || (m_isCallDue && open < limit))
         startCall(now);
@@ -243,7 +243,8 @@
 
 std::vector<acknowledgement_set> relay::makeAcknowledgements(instant now) const
 {
-    // Two groups, as a group has the lag of its oldest acknowledgement: one slow subtree must not age all the others.
+    // Two groups, as a group has the lag of its oldest acknowledgement: a slow subtree must not increase the lag of all
+    // the others.
     acknowledgement_set recent{host_bits(m_acknowledgedAt.size())};
     acknowledgement_set old = recent;
     const auto add = [&](std::size_t member, instant acknowledgedAt) {
@@ -301,7 +302,7 @@
     m_nextCallAt = std::min(m_nextCallAt, now + period() / kEarlyCallDivisor);
     m_link.seenUpdate = std::max(m_link.seenUpdate, response.lastUpdate);
     m_link.generation = response.generation;
-    // The stamp comes first: on adopting a generation, a host forwards it at once and dispatches under it from then on.
+    // The stamp must come first, because a host forwards a generation and dispatches under it as soon as it adopts it.
     applyStamp(sent, response);
     applyConfig(response.config, response.generation);
     applyAcknowledged(response);
--- a/src/relay_children.cpp
+++ b/src/relay_children.cpp
@@ -19,45 +19,45 @@
         respondToProbe(token, now);
         return;
     }
-    auto &from = m_children[call.host];
+    auto &child = m_children[call.host];
     // A newer call of the same child replaces the waiting one.
-    if (from.waitingCall)
-        respondToChild(from, now);
-    applyChildCall(from, call, now);
-    from.waitingCall = token;
-    from.waitingSince = now;
-    const bool isNewer = call.generation != m_fresh.generation();
-    if (from.isUnknown || isNewer || needsEarlyResponse(from))
-        respondToChild(from, now);
+    if (child.waitingCall)
+        respondToChild(child, now);
+    applyChildCall(child, call, now);
+    child.waitingCall = token;
+    child.waitingSince = now;
+    const bool hasOtherGeneration = call.generation != m_fresh.generation();
+    if (child.isUnknown || hasOtherGeneration || needsEarlyResponse(child))
+        respondToChild(child, now);
     tick(now);
 }
 
-void relay::applyChildCall(child_state &from, const exchange_call &call, instant now)
+void relay::applyChildCall(child_state &child, const exchange_call &call, instant now)
 {
-    const bool isFirst = from.number == kNoLink;
+    const bool isFirst = child.number == kNoLink;
     const bool echoIsOwn = call.echoedClock != instant{}
-        && (call.echoedClock == from.issuedClock || call.echoedClock == from.issuedBefore);
-    from.isUnknown = isFirst || !echoIsOwn;
-    if (from.isUnknown) {
-        from = {.waitingCall = from.waitingCall, .isUnknown = true};
-        from.number = ++m_lastLink;
-    } else if (call.echoedClock == from.issuedClock) {
-        from.knownAcknowledgedRevision = from.sentAcknowledgedRevision;
-        from.knownTotals = from.sentTotals;
+        && (call.echoedClock == child.issuedClock || call.echoedClock == child.issuedBefore);
+    child.isUnknown = isFirst || !echoIsOwn;
+    if (child.isUnknown) {
+        child = {.waitingCall = child.waitingCall, .isUnknown = true};
+        child.number = ++m_lastLink;
+    } else if (call.echoedClock == child.issuedClock) {
+        child.knownAcknowledgedRevision = child.sentAcknowledgedRevision;
+        child.knownTotals = child.sentTotals;
     }
-    from.lastCallAt = now;
-    from.generation = call.generation;
-    from.seenUpdate = from.isUnknown ? 0 : call.seenUpdate;
+    child.lastCallAt = now;
+    child.generation = call.generation;
+    child.seenUpdate = child.isUnknown ? 0 : call.seenUpdate;
     applyConfig(call.config, call.generation);
-    if (m_shared.merge(call.shared, from.number, now))
+    if (m_shared.merge(call.shared, child.number, now))
         propagateUrgentUpdate(now);
     for (const auto &[account, demand] : call.demand)
-        from.demand[account] = demand;
-    if (from.isUnknown)
+        child.demand[account] = demand;
+    if (child.isUnknown)
         return;
     applyAcknowledgements(call);
-    if (call.deltaSequence > from.appliedSequence) {
-        from.appliedSequence = call.deltaSequence;
+    if (call.deltaSequence > child.appliedSequence) {
+        child.appliedSequence = call.deltaSequence;
         m_deltas.add(call.delta);
     }
 }
@@ -81,9 +81,9 @@
     }
 }
 
-bool relay::needsEarlyResponse(const child_state &to) const
+bool relay::needsEarlyResponse(const child_state &child) const
 {
-    return to.generation != m_fresh.generation() || to.seenUpdate < m_urgentUpdate;
+    return child.generation != m_fresh.generation() || child.seenUpdate < m_urgentUpdate;
 }
 
 void relay::respondToProbe(response_token token, instant now)
@@ -97,37 +97,37 @@
     m_actions.emplace_back(respond_to_exchange{token, std::move(response)});
 }
 
-void relay::respondToChild(child_state &to, instant now)
+void relay::respondToChild(child_state &child, instant now)
 {
-    const auto token = *std::exchange(to.waitingCall, std::nullopt);
-    m_actions.emplace_back(respond_to_exchange{token, makeResponse(to, now)});
+    const auto token = *std::exchange(child.waitingCall, std::nullopt);
+    m_actions.emplace_back(respond_to_exchange{token, makeResponse(child, now)});
 }
 
-exchange_response relay::makeResponse(child_state &to, instant now)
+exchange_response relay::makeResponse(child_state &child, instant now)
 {
     exchange_response response;
     response.generation = m_fresh.generation();
     // Each response needs a unique clock value, so that the echo identifies the latest one that the child received.
-    to.issuedBefore = to.issuedClock;
-    to.issuedClock = std::max(now, to.issuedBefore + instant(1));
-    response.clock = to.issuedClock;
-    response.waitTime = now - to.waitingSince;
+    child.issuedBefore = child.issuedClock;
+    child.issuedClock = std::max(now, child.issuedBefore + instant(1));
+    response.clock = child.issuedClock;
+    response.waitTime = now - child.waitingSince;
     const auto &stamp = m_fresh.currentStamp();
     if (stamp.generation != 0 && stamp.generation == response.generation)
         response.stampAge = now - stamp.currentAt;
-    if (to.generation < response.generation)
-        response.config = m_hooks.configAfter(to.generation);
-    response.appliedDeltaSequence = to.appliedSequence;
-    response.shared = m_shared.updatesAfter(to.seenUpdate, to.number);
+    if (child.generation < response.generation)
+        response.config = m_hooks.configAfter(child.generation);
+    response.appliedDeltaSequence = child.appliedSequence;
+    response.shared = m_shared.updatesAfter(child.seenUpdate, child.number);
     response.lastUpdate = m_shared.lastUpdate();
-    response.demandTotals = changedDemand(m_demandTotals, to.knownTotals, demandDivisor());
-    to.sentTotals = to.knownTotals;
+    response.demandTotals = changedDemand(m_demandTotals, child.knownTotals, demandDivisor());
+    child.sentTotals = child.knownTotals;
     for (const auto &[account, demand] : response.demandTotals)
-        to.sentTotals[account] = demand;
-    if (to.knownAcknowledgedRevision != m_acknowledgedRevision)
+        child.sentTotals[account] = demand;
+    if (child.knownAcknowledgedRevision != m_acknowledgedRevision)
         response.acknowledged = m_acknowledged;
-    to.sentAcknowledgedRevision = m_acknowledgedRevision;
-    response.isUnknownChild = to.isUnknown;
+    child.sentAcknowledgedRevision = m_acknowledgedRevision;
+    response.isUnknownChild = child.isUnknown;
     return response;
 }
 
@@ -137,10 +137,10 @@
         return !pair.second.waitingCall && now - pair.second.lastCallAt > kChildExpiryPeriods * period();
     });
     bool isComplete = m_isSubtreeReportDue && m_fresh.mayAcknowledge();
-    for (auto &[name, from] : m_children) {
-        isComplete = isComplete && from.generation == m_fresh.generation();
-        if (from.waitingCall && (needsEarlyResponse(from) || now >= from.waitingSince + period()))
-            respondToChild(from, now);
+    for (auto &[name, child] : m_children) {
+        isComplete = isComplete && child.generation == m_fresh.generation();
+        if (child.waitingCall && (needsEarlyResponse(child) || now >= child.waitingSince + period()))
+            respondToChild(child, now);
     }
     if (!isComplete)
         return;
@@ -150,16 +150,16 @@
 
 void relay::respondToAllChildren(instant now)
 {
-    for (auto &[name, from] : m_children)
-        if (from.waitingCall)
-            respondToChild(from, now);
+    for (auto &[name, child] : m_children)
+        if (child.waitingCall)
+            respondToChild(child, now);
 }
 
 demand_map relay::subtreeDemand() const
 {
     auto sum = m_demand;
-    for (const auto &[name, from] : m_children)
-        for (const auto &[account, demand] : from.demand)
+    for (const auto &[name, child] : m_children)
+        for (const auto &[account, demand] : child.demand)
             sum[account] += demand;
     return sum;
 }
--- a/src/relay_choice_p.h
+++ b/src/relay_choice_p.h
@@ -46,9 +46,11 @@
     static constexpr std::chrono::seconds kFailureBackoff{3};
     /// Time between two queries to a relay that this host does not follow.
     static constexpr std::chrono::milliseconds kPollInterval{1500};
-    /// The same while the store is unreachable, when relays search for it and report it to the others within this time;
-    /// and after the start, when replicas register one after another and each registration costs a call to the store.
+    /// The same while the store is unreachable: the relays keep trying to reach it, and the other hosts receive its
+    /// data from them within this time. Also used after the start, when replicas register one after another and each
+    /// registration costs a call to the store.
     static constexpr std::chrono::milliseconds kUrgentPollInterval{300};
+    /// Time after the start during which the urgent interval is used.
     static constexpr std::chrono::seconds kStartupPhase{5};
 
 private:
--- a/src/relay_p.h
+++ b/src/relay_p.h
@@ -13,9 +13,8 @@
 
 /// Members that a host probes for a parent, in order of preference.
 struct parent_candidates {
-    /// The ancestors; then the members whose index is lower by a power of two, lowest first, so that a partition
-    /// without any of its ancestors forms a tree of logarithmic depth instead of a chain; then the others, nearest
-    /// first.
+    /// The ancestors; then the members whose index is lower by a power of two, lowest first, so that hosts partitioned
+    /// from all their ancestors form a tree of logarithmic depth instead of a chain; then the others, nearest first.
     std::vector<std::size_t> order;
     std::size_t firstRoundSize = 0; ///< entries probed in parallel first: the ancestors and the powers of two
 };
@@ -36,8 +35,9 @@
 /// Demand per client account in thousandths of a request per second.
 using demand_map = std::map<std::string, std::uint64_t>;
 
-/// @returns the entries that differ from what the other side knows by more than 1/divisor, or by any amount if divisor
-/// is 0. Removed entries are returned as 0.
+/// @param known values that the other side has already received.
+/// @returns the entries that differ from the known values by more than 1/divisor, or by any amount if divisor is 0.
+/// Removed entries are returned as 0.
 [[nodiscard]] demand_map changedDemand(const demand_map &current, const demand_map &known, std::uint64_t divisor);
 
 /// Configuration sent to a host that lacks it: the changes in order, or the whole document.
@@ -151,13 +151,13 @@
     [[nodiscard]] const shared_state &shared() const { return m_shared; }
 
     /// @returns the counts of the other hosts: the totals minus the contribution of this host. They never decrease, so
-    /// that each result is applied once.
+    /// that the caller can add the increase since its last call to its own totals.
     [[nodiscard]] const std::map<count_key, count_values> &countsOfOthers();
 
     /// @returns the share of each account's limit that this host may use; the shares of all hosts add up to one.
     [[nodiscard]] std::map<std::string, double> limitShares() const;
 
-    /// @returns the registered hosts that hold the generation of this host, as observed consistently by the root.
+    /// @returns the registered hosts that hold the generation of this host, as last reported by the root.
     [[nodiscard]] std::vector<std::string> acknowledgedHosts() const;
     [[nodiscard]] std::size_t acknowledgedCount() const;
 
@@ -228,15 +228,15 @@
     [[nodiscard]] std::size_t firstRoundSize() const;
 
     // Parent side (relay_children.cpp).
-    void applyChildCall(child_state &from, const exchange_call &call, instant now);
+    void applyChildCall(child_state &child, const exchange_call &call, instant now);
     void applyAcknowledgements(const exchange_call &call);
     void applyConfig(const config_content &config, generation_number generation);
-    void respondToChild(child_state &to, instant now);
+    void respondToChild(child_state &child, instant now);
     void respondToProbe(response_token token, instant now);
     void respondToDueChildren(instant now);
     void respondToAllChildren(instant now);
-    [[nodiscard]] bool needsEarlyResponse(const child_state &to) const;
-    [[nodiscard]] exchange_response makeResponse(child_state &to, instant now);
+    [[nodiscard]] bool needsEarlyResponse(const child_state &child) const;
+    [[nodiscard]] exchange_response makeResponse(child_state &child, instant now);
     void updateAsRoot(instant now);
     void updateAcknowledged(instant now);
     void propagateUrgentUpdate(instant now);
--- a/src/relay_search.cpp
+++ b/src/relay_search.cpp
@@ -125,8 +125,8 @@
         m_state = tree_state::root;
         m_nextSearchAt = now + period();
     }
-    // A change drops unconfirmed counts, as the present parent may have applied them. handleParentResponse() changes
-    // the parent once they are confirmed.
+    // Changing the parent drops unconfirmed counts, as the present parent may have applied them.
+    // handleParentResponse() changes it once they are confirmed.
     if (m_state != tree_state::child || m_preferredParent.empty() || m_deltas.hasUnconfirmed())
         return;
     changeParent(std::exchange(m_preferredParent, {}), now);
--- a/src/relay_shared_p.h
+++ b/src/relay_shared_p.h
@@ -32,6 +32,7 @@
 /// Identifies the tally of one root process.
 using tally_id = std::uint32_t;
 
+/// Counts that one root process has collected from its tree.
 struct shared_tally {
     tally_id root = 0;
     std::vector<shared_count> counts;
@@ -58,7 +59,7 @@
 public:
     explicit shared_state(tally_id ownTally);
 
-    /// Limits how often a growing count is propagated: a tally is sent again only after it has grown by 1/divisor.
+    /// Limits how often a growing count is propagated: it is sent again only after it has grown by 1/divisor.
     /// @param divisor 0 propagates every growth.
     void setDamping(std::uint32_t divisor) { m_dampingDivisor = divisor; }
 
@@ -72,7 +73,10 @@
     /// @returns whether they contained a new halt or quarantine.
     bool merge(const shared_updates &updates, link_number link, instant now);
 
+    /// @returns whether the version was not halted before.
     bool halt(const std::string &version);
+
+    /// @returns whether the fingerprint was not quarantined before.
     bool addQuarantined(std::uint64_t fingerprint, instant now);
 
     /// Removes fingerprints that were received before the given time.
@@ -91,8 +95,8 @@
 
 private:
     struct item {
-        update_sequence changed = 0;
-        link_number link = kNoLink;
+        update_sequence changed = 0; ///< last update that contains a change of it
+        link_number link = kNoLink; ///< over which it was received
         instant receivedAt{};
     };
     struct count_item {
--- a/src/relay_task.cpp
+++ b/src/relay_task.cpp
@@ -86,7 +86,7 @@
         execute(action);
     publishLease();
     publishShared();
-    publishShares();
+    publishLimitShares();
     respondToStatusCalls(now);
     m_isDriving = false;
     const auto wait = std::chrono::duration_cast<std::chrono::microseconds>(m_relay.nextTimer() - now);
--- a/src/relay_task_core.cpp
+++ b/src/relay_task_core.cpp
@@ -120,7 +120,7 @@
         m_deliver(std::move(quarantined));
 }
 
-void relay_task::publishShares()
+void relay_task::publishLimitShares()
 {
     if (!m_config.base())
         return;
--- a/src/relay_task_p.h
+++ b/src/relay_task_p.h
@@ -71,7 +71,7 @@
     void measureDemand(instant now);
     void publishLease();
     void publishShared();
-    void publishShares();
+    void publishLimitShares();
     void respondToStatusCalls(instant now);
     [[nodiscard]] status_reply makeStatus(instant now) const;
     [[nodiscard]] peer_handlers makeHandlers();
@@ -92,7 +92,7 @@
     bool m_isDriving = false;
 
     instant m_nextRead{};
-    instant m_nextSample{}; ///< store read that happens even if none is needed; see samplePeriod()
+    instant m_nextSample{}; ///< next store read that happens even if none is needed; see samplePeriod()
     bool m_isReading = false;
     instant m_nextRecover{};
     std::string m_rejectedField; ///< invalid field of the last rejected configuration
