--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -58,6 +58,7 @@
     double missProbability = 1; ///< probability that no model meets the target
 };
 
+/// @returns the outcome of a cascade that starts at the candidate and continues with `rest` below the target.
 cascade_outcome prepend(const cascade_candidate &candidate, double metProbability, const cascade_outcome &rest)
 {
     const auto latency = static_cast<double>(candidate.expectedLatency.count());
--- a/src/policy_p.h
+++ b/src/policy_p.h
@@ -59,8 +59,8 @@
     /// @param candidates at least one, cheapest model first.
     /// @param remaining time until the request's deadline.
     /// @param ratingAvailable false while the rating service is unavailable; the strongest candidate is chosen then.
-    /// @param randomBits fixed for a request. It is decided on several times while it waits, and new random bits each
-    /// time would make it explore more often the longer it waits. 0: no exploration.
+    /// @param randomBits random number of the request, the same in all calls for it: a waiting request is decided on
+    /// several times, and with new bits each time it would explore more often the longer it waits. 0: no exploration.
     [[nodiscard]] cascade_decision choose(const router_config &config, kind_handle kind,
                                           std::span<const cascade_candidate> candidates,
                                           std::chrono::milliseconds remaining, bool ratingAvailable,
--- a/src/router_core.cpp
+++ b/src/router_core.cpp
@@ -7,10 +7,10 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kQueuePollIntervalMs{
-    50}; ///< maximum time between two dispatch passes over the queue
-constexpr std::chrono::milliseconds kReplanIntervalMs{
-    500}; ///< plans depend on the remaining time, so they are renewed this often
+/// Maximum time between two dispatch passes over the queue.
+constexpr std::chrono::milliseconds kQueuePollIntervalMs{50};
+/// Plans depend on the remaining time, so they are renewed this often.
+constexpr std::chrono::milliseconds kReplanIntervalMs{500};
 
 } // namespace
 
--- a/src/router_core_attempts.cpp
+++ b/src/router_core_attempts.cpp
@@ -7,11 +7,11 @@
 namespace
 {
 
-constexpr std::uint32_t kRetriesAfterRun =
-    1; ///< where an upstream may have run the attempt: one retry, on another upstream
+/// Retries where an upstream may have run the attempt; the retry goes to another upstream.
+constexpr std::uint32_t kRetriesAfterRun = 1;
 constexpr std::uint32_t kRetriesNotRun = 2; ///< where no upstream has run the attempt
-constexpr std::size_t kResponseBytesLimit = std::size_t{4}
-    << 20; ///< bounds memory where an upstream ignores max_tokens
+/// Bounds memory where an upstream ignores max_tokens.
+constexpr std::size_t kResponseBytesLimit = std::size_t{4} << 20;
 constexpr double kSmoothing = 0.2; ///< weight of the newest value in an exponential moving average
 
 std::uint64_t costOf(const attempt_response &response)
@@ -183,7 +183,8 @@
 bool router_core::implementation::isTimeoutEvidence(const open_request &request, const open_attempt &attempt) const
 {
     // Attempts of good versions also time out where their pool is overloaded. Timeouts therefore count only against a
-    // version with a baseline to fall back on, and only where the attempt had at least half of the kind's maxTimeout.
+    // version with a baseline to fall back on, and only where the attempt had at least half of the kind's maximum
+    // timeout.
     const auto kind = m_config->kindByName(request.input.kind);
     const auto version = m_config->versionByName(attempt.version);
     return kind.isValid() && version.isValid() && (*m_config)[version].baseline.isValid()
@@ -192,7 +193,8 @@
 
 std::string router_core::implementation::stratumOf(const open_request &request)
 {
-    // Weaker models have failed every escalated request, so results of these are counted in a separate stratum.
+    // An escalated request has already missed its target on a weaker model, so its results are counted in a separate
+    // stratum.
     return request.escalatedFromModel.empty() ? request.input.kind : request.input.kind + "/escalated";
 }
 
@@ -218,7 +220,8 @@
 
 void router_core::implementation::recordResponseStats(const open_request &request, const open_attempt &attempt)
 {
-    if (m_now > request.deadline) // A mean beyond the kind's maxTimeout would refuse all later requests of the kind.
+    // A mean beyond the kind's maximum timeout would refuse all later requests of the kind.
+    if (m_now > request.deadline)
         return;
     const response_stats stats{std::chrono::duration<double, std::milli>(m_now - attempt.startedAt).count(),
                                static_cast<double>(request.response.completionTokens)};
--- a/src/router_core_dispatch.cpp
+++ b/src/router_core_dispatch.cpp
@@ -187,8 +187,8 @@
 
 void router_core::implementation::dispatchQueued()
 {
-    // A version without a free slot for a class has none for the rest of the queue either. Planning each queued request
-    // again took most of the time with long queues.
+    // A version without a free slot for a class has none for the rest of the queue either, so these requests are
+    // skipped: with long queues, planning each of them again takes most of the time.
     std::set<std::pair<std::string, request_class>> fullVersions;
     for (const auto token : m_admission.order()) {
         auto *request = findRequest(token);
--- a/src/router_core_intake.cpp
+++ b/src/router_core_intake.cpp
@@ -16,8 +16,8 @@
 /// immediate at a margin of 1.5, 62 at 2 and 78 at 3. The number of drafts served did not change, as the queue stays
 /// long enough.
 constexpr double kWaitMargin = 3;
-constexpr std::chrono::milliseconds kMinRetryMs{
-    1000}; ///< lower bound of Retry-After for a request that would wait too long
+/// Lower bound of Retry-After for a request that would wait too long.
+constexpr std::chrono::milliseconds kMinRetryMs{1000};
 constexpr std::size_t kOpenRequestLimit = 4096; ///< open requests of one host; bounds its memory
 
 struct parsed_id {
@@ -142,7 +142,8 @@
     return kAccepted;
 }
 
-/// A host without a lease may be disconnected from the ledger too, so it can't tell whether another host runs this id.
+/// A host without a lease may be disconnected from the ledger too, so it can't determine whether another host runs
+/// this id.
 finish_request router_core::implementation::refusalWithoutLease(const open_request &request) const
 {
     auto response = notRun(reason_code::no_fresh_configuration, retryAfterOf(reason_code::no_fresh_configuration));
--- a/src/router_core_p.h
+++ b/src/router_core_p.h
@@ -68,8 +68,8 @@
                                        "copied",  "unavailable", "unknown"};
 };
 
-/// Action that a ledger_response belongs to. Without it, a late or duplicate response to a pin could pass for a
-/// claim's.
+/// Action that a ledger_response belongs to. Without it, a late or duplicate response to a pin could be taken for
+/// the response to a claim.
 enum class ledger_step : std::uint8_t { claim, bill, pin, count };
 
 template <>
@@ -276,7 +276,8 @@
     /// @returns time of the next timer_tick, if any.
     [[nodiscard]] std::optional<instant> nextTimer() const;
 
-    /// @returns number of requests without a final response, and of those whose attempt is not yet billed.
+    /// @returns number of requests that lack their final response or whose attempt is still in flight or not yet
+    /// billed.
     [[nodiscard]] std::size_t openRequests() const;
 
 private:
--- a/src/router_core_state_p.h
+++ b/src/router_core_state_p.h
@@ -47,8 +47,8 @@
     std::string requestId;
     std::string account;
     request_class priority = request_class::standard;
-    bool idempotent =
-        true; ///< fixed at admission; a later change of the kind must not allow retries of a claimed request
+    /// Fixed at admission; a later change of the kind must not allow retries of a claimed request.
+    bool idempotent = true;
     std::uint64_t fingerprint = 0;
     std::uint64_t randomBits = 0; ///< input to the policy; the same for each decision on this request
     std::string pool; ///< service of the version planned at admission
@@ -156,13 +156,16 @@
     void recordLeaseState();
     [[nodiscard]] bool isOpenToNewSessions(version_handle version) const;
     [[nodiscard]] dispatch_plan plan(const open_request &request) const;
+    /// Appends the versions that may run the request, in cascade order.
+    /// @returns a plan with only the reason set: none, or why the request can't run.
     [[nodiscard]] dispatch_plan collectCandidates(const open_request &request,
-                                                  std::vector<version_handle> &found) const;
+                                                  std::vector<version_handle> &versions) const;
     [[nodiscard]] cascade_candidate estimateOf(const open_request &request, version_handle version) const;
     void dispatchQueued();
     void tryStart(open_request &request);
     /// Fails queued requests that can't start before their deadline.
     void failUnreachable();
+    /// @returns the estimated time in ms between two starts of requests from the queue ahead of this one.
     [[nodiscard]] double msPerStart(const open_request &request) const;
     void failQueued(open_request &request, reason_code reason);
     void startPin(open_request &request);
@@ -171,12 +174,14 @@
     void enqueue(open_request &request, std::string reason);
 
     // Attempts: router_core_attempts.cpp.
+    /// @returns the request of an attempt in flight; if there is none, records the event as dropped and returns null.
     [[nodiscard]] open_request *requestOf(attempt_token attempt, std::string_view event);
     [[nodiscard]] bool hasOtherUpstream(const open_request &request, version_handle version) const;
     void endAttempt(open_request &request, std::optional<attempt_failure> failure);
     void cancelAttempt(open_request &request, std::string reason);
     /// @param ran whether an upstream may have run the failed attempt.
     void retryOrFail(open_request &request, reason_code reason, bool ran);
+    /// @returns why the request may not be retried, or an empty text after charging the retry to the budget.
     [[nodiscard]] std::string_view retryObstacle(const open_request &request, bool ran);
     void recordResult(const std::string &version, std::optional<bool> passed, const std::string &stratum = {});
     [[nodiscard]] bool isTimeoutEvidence(const open_request &request, const open_attempt &attempt) const;
@@ -186,7 +191,7 @@
     void recordResponseStats(const open_request &request, const open_attempt &attempt);
     void cancelIfWithdrawn(open_request &request);
 
-    // Completion: router_core_answers.cpp.
+    // Completion: router_core_completion.cpp.
     void onPinResponse(open_request &request, const ledger_response &response);
     void onClaimResponse(open_request &request, const ledger_response &response);
     void onBillResponse(open_request &request, const ledger_response &response);
@@ -215,7 +220,7 @@
     instant m_now{}; ///< time of the input being handled
     router_config_ptr m_config; ///< null until the first configuration
     lease_changed m_lease;
-    std::optional<instant> m_noLeaseSince; ///< first input without a lease for the generation in force
+    std::optional<instant> m_noLeaseSince; ///< time of the first input without a lease for the generation in force
     bool m_draining = false;
     bool m_ratingAvailable = true;
     bool m_evidenceChanged = false;
--- a/src/session_p.h
+++ b/src/session_p.h
@@ -13,7 +13,7 @@
     std::string account;
     std::string sessionId;
     generation_number generation = 0; ///< at the first request of the session
-    std::vector<std::string> versions; ///< one for each model of the cascade
+    std::vector<std::string> versions; ///< one for each model that is open to the account
 };
 
 /// Signs pins with HMAC-SHA256. @returns the token, base64url.
--- a/src/upstream_client.cpp
+++ b/src/upstream_client.cpp
@@ -63,8 +63,8 @@
     attempt_token token{};
     std::string id; ///< echoed by the upstream in each event
     http_call_id call{};
-    std::unique_ptr<evbuffer, buffer_deleter> input{
-        evbuffer_new()}; ///< received bytes that don't form a complete line yet
+    /// Received bytes that don't form a complete line yet.
+    std::unique_ptr<evbuffer, buffer_deleter> input{evbuffer_new()};
     std::optional<attempt_done> finish; ///< set by the finish event
     bool isFinished = false; ///< the attempt was reported as done or failed, or was cancelled
 };
