--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -55,8 +55,9 @@
     Family<Counter> &attempts = counter(registry, "foxtaildyke_attempts_total", "Ended attempts by version and end");
     Family<Counter> &tokens = counter(registry, "foxtaildyke_billed_tokens_total", "Billed tokens by type");
     Counter &cost = counter(registry, "foxtaildyke_billed_cost_microunits_total", "Billed cost in micro-units").Add({});
-    Counter &foreignEvents =
-        counter(registry, "foxtaildyke_foreign_events_total", "Upstream events dropped for their attempt id").Add({});
+    Counter &foreignEvents = counter(registry, "foxtaildyke_foreign_events_total",
+                                     "Upstream events dropped for a foreign or missing attempt id")
+                                 .Add({});
     Family<Counter> &platformCalls =
         counter(registry, "foxtaildyke_platform_calls_total", "Calls to the platform by name and end");
     Histogram &duration =
--- a/src/model_cascade.cpp
+++ b/src/model_cascade.cpp
@@ -6,7 +6,7 @@
 
 std::size_t firstModel(const cascade_settings &settings, const cascade_step &step)
 {
-    // With a single send there is no escalation, so the first response must be good.
+    // With a single send escalation is impossible, so the request goes to the largest model at once.
     const bool canEscalate = step.maxSends > 1;
     return settings.startsSmall && canEscalate ? 0 : step.models - 1;
 }
--- a/src/model_cascade_p.h
+++ b/src/model_cascade_p.h
@@ -26,8 +26,8 @@
     std::uint32_t sends = 0; ///< replicas to which the request was sent so far
     std::uint32_t maxSends = 1;
     std::optional<std::uint64_t> confidence; ///< of the response that has begun, in percent; empty: not stated
-    std::chrono::milliseconds elapsed{};
-    std::chrono::milliseconds objective{};
+    std::chrono::milliseconds elapsed{}; ///< since the request was read
+    std::chrono::milliseconds objective{}; ///< latency objective of the route
 };
 
 /// @returns index of the model to start with.
--- a/src/object_store_p.h
+++ b/src/object_store_p.h
@@ -19,8 +19,9 @@
 };
 
 /// Asynchronous access to the object API. Every callback runs exactly once, on the caller's task.
-/// @remarks Errors: conflict (the condition failed; nothing was written), not_found, unavailable (the store refused the
-/// call; nothing was written), timed_out and io_failure (a write may or may not have taken effect).
+/// @remarks Errors: conflict (the condition failed; nothing was written), not_found, too_large (nothing was written),
+/// unavailable (the store refused the call; nothing was written), protocol_violation (invalid response), timed_out and
+/// io_failure (a write may or may not have taken effect).
 class object_store
 {
 public:
--- a/src/peer_client_p.h
+++ b/src/peer_client_p.h
@@ -18,7 +18,7 @@
 public:
     explicit peer_client(event_loop &loop);
 
-    /// Cancels open calls and waits until they have ended; their results are not delivered.
+    /// Cancels open calls and waits up to 2 s until they have ended; their results are not delivered.
     ~peer_client();
     peer_client(const peer_client &) = delete;
     peer_client &operator=(const peer_client &) = delete;
--- a/src/process_settings_p.h
+++ b/src/process_settings_p.h
@@ -73,6 +73,8 @@
     std::vector<std::string> arguments;
 
     [[nodiscard]] bool has(const std::string &name) const { return options.contains(name); }
+
+    /// @returns the value of an option, or an empty string if it is not set.
     [[nodiscard]] std::string text(const std::string &name) const;
 
     /// @returns the number, or std::nullopt where the value is not an integer in the range.
--- a/src/rollout_policy_p.h
+++ b/src/rollout_policy_p.h
@@ -46,9 +46,9 @@
     [[nodiscard]] std::optional<rollout_order> nextState(instant now);
 
     /// Share of requests sent to the new version in each stage. It is 0 in the first half of an order, to let existing
-    /// sessions finish: most of their requests reach hosts that don't know them, and any share would change the version
-    /// of some. The requests that a bad version receives in the second and third stage stay below the users' bounds of
-    /// 0.0975 to 0.15 of all requests until the end of the order.
+    /// sessions finish: most of their requests reach hosts that have no record of the session, and any share would
+    /// change the version of some. The requests that a bad version receives in the second and third stage stay below
+    /// the users' bounds of 0.0975 to 0.15 of all requests until the end of the order.
     static constexpr std::array kStageShares{0.0, 0.22, 0.5, 1.0};
     /// End of each stage as a fraction of the order's duration. The first stage covers the half of the order in which
     /// existing sessions keep their version, see kStageShares.
--- a/src/settings_p.h
+++ b/src/settings_p.h
@@ -30,7 +30,8 @@
 /// One accepted or pending change, as stored in the history of `config/current`.
 struct config_change {
     generation_number generation = 0; ///< the generation that the change created
-    std::string changeId; ///< set by the operator's tool, to tell a lost response (the change was made) from a conflict
+    /// Set by the operator's tool, to distinguish a lost response (the change was made) from a conflict.
+    std::string changeId;
     std::string author;
     std::int64_t unixMs = 0;
     std::vector<config_edit> edits;
@@ -70,7 +71,8 @@
 /// @returns the reference of all sections and keys in Markdown: the text of --help-settings and of docs/SETTINGS.md.
 [[nodiscard]] std::string settingsReference();
 
-/// JSON encoding of the object `config/current` and of edits.
+/// JSON encoding of the object `config/current` and of edits. Decoding gives error_code::protocol_violation where the
+/// text is malformed.
 [[nodiscard]] std::string encodeConfig(const config_document &document);
 [[nodiscard]] result<config_document> decodeConfig(std::string_view json);
 [[nodiscard]] std::string encodeEdits(const std::vector<config_edit> &edits);
--- a/src/socket_options_p.h
+++ b/src/socket_options_p.h
@@ -6,7 +6,7 @@
 namespace foxtaildyke
 {
 
-/// Maximum time for which bytes sent to a replica or the store may stay unacknowledged: about seven times TCP's initial
+/// Maximum time for which bytes sent to a replica or the store may stay unacknowledged: about seven times TCP's minimum
 /// retransmission timeout (200 ms), so that three consecutive losses don't end the connection.
 inline constexpr std::chrono::milliseconds kTcpUserTimeout{1500};
 
--- a/src/stream_socket_p.h
+++ b/src/stream_socket_p.h
@@ -1,4 +1,4 @@
-// A TCP connection of a task over a bufferevent, with the socket options that detect unresponsive peers.
+// TCP connection over a libevent bufferevent, with the socket options that detect unresponsive peers.
 #pragma once
 
 #include "event_loop_p.h"
--- a/src/timeline.cpp
+++ b/src/timeline.cpp
@@ -225,8 +225,8 @@
     std::vector<event_stream> m_streams;
     std::set<order_key> m_readyHeads; ///< heads whose causes have all been placed
     std::set<std::size_t> m_blockedStreams; ///< streams whose head waits for a cause
-    std::unordered_map<std::size_t, std::vector<std::size_t>>
-        m_streamsByCause; ///< blocked streams by the event that they wait for
+    /// Blocked streams by the event that they wait for.
+    std::unordered_map<std::size_t, std::vector<std::size_t>> m_streamsByCause;
 };
 
 std::string formatTime(std::int64_t unixUs)
