--- a/tools/control_p.h
+++ b/tools/control_p.h
@@ -41,6 +41,7 @@
     /// @param router queries the status of the router of this host.
     control_process(control_settings settings, event_loop &loop, status_port &router);
 
+    /// Listens on the administration address and starts the periodic work. @returns an error if listening fails.
     [[nodiscard]] result<void> start();
 
 private:
--- a/tools/ctl_main.cpp
+++ b/tools/ctl_main.cpp
@@ -62,7 +62,7 @@
 {
     const auto value = line.number(name, minimum, maximum);
     if (!value)
-        throw usage_error{"--" + name};
+        throw usage_error{"number missing or out of range: --" + name};
     return static_cast<number>(*value);
 }
 
@@ -73,11 +73,11 @@
     ctl_options options;
     const auto server = parseEndpoint(line.text("server"));
     if (!server)
-        throw usage_error{"--server"};
+        throw usage_error{"missing or invalid --server"};
     options.server = *server;
     options.key = readKey(line.text("key-file"));
     if (options.key.empty())
-        throw usage_error{"--key-file"};
+        throw usage_error{"no key could be read from --key-file"};
     if (line.has("wait"))
         options.wait = std::chrono::milliseconds(readNumberOption<std::int64_t>(line, "wait-ms", 1, kMaxWaitMs));
     if (line.has("generation"))
--- a/tools/ctl_p.h
+++ b/tools/ctl_p.h
@@ -15,8 +15,8 @@
     std::chrono::milliseconds wait{0}; ///< time to wait for acceptance of the change; 0: no wait
     std::optional<generation_number> generation; ///< generation on which the files are based
     std::string changeId;
-    std::uint32_t sharePermille = 0;
-    bool withHosts = false;
+    std::uint32_t sharePermille = 0; ///< share of new sessions in a roll-out; 0: not given
+    bool withHosts = false; ///< apply the [host NAME] sections as well
     bool asJson = false;
 };
 
@@ -33,8 +33,11 @@
 };
 
 /// Reads base.ini and the overlays. A directory is replaced by the .ini files in it.
+/// @returns error_code::not_found if a file or base.ini is missing, or error_code::value_out_of_range if two files have
+/// the same name.
 [[nodiscard]] result<settings_files> readSettingsFiles(const std::vector<std::string> &paths);
 
+/// Parses the files and validates the settings of base and overlays together. @returns the first error.
 [[nodiscard]] result<void> checkSettingsFiles(const settings_files &files);
 
 /// Calls the administration API and waits for the response. A call without a response is retried; this is safe because
