--- a/tools/load_callers.cpp
+++ b/tools/load_callers.cpp
@@ -17,23 +17,24 @@
     return instant{static_cast<std::int64_t>(seconds * 1e6)};
 }
 
-/// Generates the requests of one workload from its own random stream, so that changing another workload keeps them.
+/// Generates the requests of one workload. Each workload has its own random stream, so that a change to one workload
+/// does not change the requests of the others.
 class workload_planner
 {
 public:
     workload_planner(const experiment &settings, std::size_t index, std::uint64_t seed, std::int64_t unixSeconds)
         : m_settings(settings)
-        , m_source(settings.workloads[index])
+        , m_workload(settings.workloads[index])
         , m_index(index)
         , m_unixSeconds(unixSeconds)
-        , m_random(XXH64(m_source.name.data(), m_source.name.size(), seed))
+        , m_random(XXH64(m_workload.name.data(), m_workload.name.size(), seed))
     {
     }
 
     void plan(std::vector<planned_request> &requests)
     {
-        const double length = std::max(1U, m_source.sessionLength);
-        const double startsPerSecond = m_source.ratePerSecond / length;
+        const double length = std::max(1U, m_workload.sessionLength);
+        const double startsPerSecond = m_workload.ratePerSecond / length;
         if (startsPerSecond <= 0)
             return;
         for (double at = randomInterval(startsPerSecond); at < m_settings.durationSeconds;
@@ -50,25 +51,25 @@
 
     void planSession(std::vector<planned_request> &requests, double at)
     {
-        const auto &account = m_source.accounts[randomBelow(m_source.accounts.size())];
-        const auto name = m_source.name + "." + std::to_string(++m_sessions);
-        const auto group = static_cast<std::uint32_t>(randomBelow(std::max(1U, m_source.prefixGroups)));
-        for (std::uint32_t i = 0; i < std::max(1U, m_source.sessionLength); ++i) {
+        const auto &account = m_workload.accounts[randomBelow(m_workload.accounts.size())];
+        const auto name = m_workload.name + "." + std::to_string(++m_sessions);
+        const auto group = static_cast<std::uint32_t>(randomBelow(std::max(1U, m_workload.prefixGroups)));
+        for (std::uint32_t i = 0; i < std::max(1U, m_workload.sessionLength); ++i) {
             requests.push_back({.at = fromSeconds(at),
                                 .workload = m_index,
                                 .account = account,
                                 .requestId = std::to_string(m_unixSeconds + static_cast<std::int64_t>(at)) + "-" + name
                                     + "." + std::to_string(i),
-                                .sessionId = m_source.sessionLength > 1 ? name : std::string{},
+                                .sessionId = m_workload.sessionLength > 1 ? name : std::string{},
                                 .prefixGroup = group,
                                 .difficulty = m_random(),
-                                .duplicate = randomBelow(1000) < m_source.duplicatePermille});
-            at += randomInterval(1 / std::max(0.001, m_source.thinkSeconds));
+                                .duplicate = randomBelow(1000) < m_workload.duplicatePermille});
+            at += randomInterval(1 / std::max(0.001, m_workload.thinkSeconds));
         }
     }
 
     const experiment &m_settings;
-    const workload &m_source;
+    const workload &m_workload;
     std::size_t m_index;
     std::int64_t m_unixSeconds;
     std::mt19937_64 m_random;
--- a/tools/load_callers.h
+++ b/tools/load_callers.h
@@ -23,6 +23,7 @@
 [[nodiscard]] std::vector<planned_request> planRequests(const experiment &settings, std::uint64_t seed,
                                                         std::int64_t unixSeconds);
 
+/// @param shareable false: the prompt starts with the request id, so that different requests share no prefix.
 /// @returns a prompt that starts with the prefix of the prefix group, at about 4 bytes per token.
 [[nodiscard]] std::string makePrompt(const workload &source, const planned_request &request, bool shareable);
 
--- a/tools/load_experiment.cpp
+++ b/tools/load_experiment.cpp
@@ -20,6 +20,7 @@
     return {std::istream_iterator<std::string>(stream), std::istream_iterator<std::string>()};
 }
 
+/// Converts the text of a setting and assigns the value. @returns false if the text is invalid.
 template <typename number>
 bool assign(number &target, const std::string &text) requires std::is_arithmetic_v<number>
 {
--- a/tools/load_experiment.h
+++ b/tools/load_experiment.h
@@ -26,7 +26,8 @@
     std::uint32_t prefixGroups = 1; ///< number of distinct prefixes
     std::uint32_t completionTokens = 100;
     std::uint32_t deadlineMs = 0; ///< 0: the kind's
-    std::uint32_t resends = 0; ///< maximum retries by a caller of a refused or failed request, after Retry-After
+    std::uint32_t resends =
+        0; ///< maximum retries by the caller after a refusal or failure, each delayed by Retry-After
     std::uint32_t duplicatePermille =
         0; ///< share of requests that a caller also sends to a second host at the same time
 };
@@ -71,12 +72,12 @@
     double durationSeconds = 60; ///< of arrivals
     double warmupSeconds = 0; ///< requests that arrive earlier are not reported
     std::uint32_t relayMs = 100; ///< delay until a result on one host reaches all hosts
-    bool shareEvidence = true;
+    bool shareEvidence = true; ///< false: hosts exchange neither results nor halts
     bool affinity = true; ///< false: prompts share no prefix that the routers can match
     start_rule startRule = start_rule::least_loss;
-    std::uint32_t ratingMs = 30;
-    std::uint32_t ledgerMs = 3;
-    std::uint32_t loadReportMs = 250; ///< period, and age on arrival, of load reports
+    std::uint32_t ratingMs = 30; ///< response time of the rating service
+    std::uint32_t ledgerMs = 3; ///< response time of the ledger
+    std::uint32_t loadReportMs = 250; ///< period of load reports, which are half a period old on arrival
     std::uint32_t hostListMs = 1000; ///< propagation delay of the host list
     double correlation = 0.5; ///< share of requests whose difficulty is the same for all models
     std::vector<std::string> routers; ///< HTTP mode: IP:port of each router
@@ -94,6 +95,7 @@
     std::vector<arm> arms; ///< at least one
 };
 
+/// Reads a settings file. Without a section [arm NAME] it has one arm, "base", that overrides nothing.
 [[nodiscard]] result<settings_file> readSettings(const std::string &path);
 
 /// @returns the experiment of one arm, or the first error with the field as "section/key".
--- a/tools/load_http.cpp
+++ b/tools/load_http.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr milliseconds kMinResendDelay{10}; ///< retry delay of a caller that received no longer one
+constexpr milliseconds kMinResendDelay{10}; ///< minimum retry delay of a caller, if the response requests less
 constexpr milliseconds kResponseGrace{5000}; ///< after the deadline, before a caller closes its connection
 constexpr std::chrono::seconds kMaxDrainTime{
     300}; ///< after the last arrival; the run then ends without the missing responses
@@ -42,7 +42,7 @@
         if (!m_requests.empty())
             m_loop.run();
         for (std::size_t i = 0; i < m_requests.size(); ++i)
-            count(i);
+            countRequest(i);
         m_report.hasQualityData = false;
         m_report.repeats = 1;
         return m_report;
@@ -51,10 +51,10 @@
 private:
     struct request_state {
         std::uint32_t submitCount = 0;
-        std::uint32_t open = 0;
-        instant firstAt{};
+        std::uint32_t open = 0; ///< submissions without a response so far
+        instant firstSentAt{};
         instant endedAt{};
-        bool ended = false;
+        bool hasResponse = false;
         outcome_kind outcome = outcome_kind::not_run;
         std::string reason = "no answer";
         std::uint64_t costMicroUnits = 0;
@@ -67,13 +67,13 @@
         const auto &id = m_requests[index].requestId;
         const auto router = XXH64(id.data(), id.size(), m_seed + state.submitCount) % m_routers.size();
         if (state.submitCount == 0)
-            state.firstAt = event_loop::now();
+            state.firstSentAt = event_loop::now();
         sendTo(index, router);
         if (m_requests[index].duplicate && state.submitCount == 1)
             sendTo(index, (router + 1) % m_routers.size());
     }
 
-    [[nodiscard]] milliseconds deadlineOf(const workload &source) const
+    [[nodiscard]] milliseconds timeoutOf(const workload &source) const
     {
         if (source.deadlineMs > 0)
             return milliseconds{source.deadlineMs};
@@ -85,7 +85,7 @@
         const auto &config = m_settings.config;
         http_headers headers{{"Authorization", "Bearer " + config[config.accountByName(planned.account)].apiKey},
                              {"Foxtaildyke-Request-Id", planned.requestId},
-                             {"Foxtaildyke-Deadline-Ms", std::to_string(deadlineOf(source).count())}};
+                             {"Foxtaildyke-Deadline-Ms", std::to_string(timeoutOf(source).count())}};
         if (planned.sessionId.empty())
             return headers;
         headers.emplace_back("Foxtaildyke-Session", planned.sessionId);
@@ -110,7 +110,7 @@
                         .path = "/v1/answers",
                         .headers = headersOf(planned, source),
                         .body = body.dump(),
-                        .timeout = deadlineOf(source) + kResponseGrace},
+                        .timeout = timeoutOf(source) + kResponseGrace},
                        {.onDone = [this, index, sentAt = event_loop::now()](const http_response &response) {
                            onResponse(index, sentAt, response);
                        }});
@@ -120,7 +120,7 @@
     {
         auto &state = m_states[index];
         --state.open;
-        if (!state.ended || state.outcome != outcome_kind::complete)
+        if (!state.hasResponse || state.outcome != outcome_kind::complete)
             recordResponse(index, sentAt, response);
         const bool isLast = state.open == 0 && !resend(index, response);
         if (isLast && ++m_done == m_requests.size())
@@ -130,7 +130,7 @@
     void recordResponse(std::size_t index, instant sentAt, const http_response &response)
     {
         auto &state = m_states[index];
-        state.ended = true;
+        state.hasResponse = true;
         state.endedAt = event_loop::now();
         const auto json = nlohmann::json::parse(response.body, nullptr, false);
         if (response.end != http_end::complete || !json.is_object()) {
@@ -163,7 +163,7 @@
         return true;
     }
 
-    void count(std::size_t index)
+    void countRequest(std::size_t index)
     {
         const auto &planned = m_requests[index];
         const auto &state = m_states[index];
@@ -176,9 +176,9 @@
             ++row.reasons[state.reason];
             return;
         }
-        const auto latency = std::chrono::duration<double, std::milli>(state.endedAt - state.firstAt).count();
+        const auto latency = std::chrono::duration<double, std::milli>(state.endedAt - state.firstSentAt).count();
         row.latencyMs.push_back(latency);
-        row.inTime += latency <= static_cast<double>(deadlineOf(source).count()) ? 1 : 0;
+        row.inTime += latency <= static_cast<double>(timeoutOf(source).count()) ? 1 : 0;
         row.costMicroUnits += state.costMicroUnits;
     }
 
@@ -190,7 +190,7 @@
     std::vector<planned_request> m_requests;
     std::vector<request_state> m_states; ///< of m_requests
     std::map<std::string, std::string> m_sessionTokens; ///< by session
-    std::size_t m_done = 0;
+    std::size_t m_done = 0; ///< number of finished requests
     arm_report m_report;
 };
 
--- a/tools/load_report.cpp
+++ b/tools/load_report.cpp
@@ -172,9 +172,9 @@
 {
     if (arms.empty())
         return;
-    const auto named = std::ranges::find(arms, reference, &arm_report::arm);
-    const auto &referenceArm = named == arms.end() ? arms.front() : *named;
-    const auto base = referenceArm.total();
+    const auto found = std::ranges::find(arms, reference, &arm_report::arm);
+    const auto &referenceArm = found == arms.end() ? arms.front() : *found;
+    const auto referenceTotal = referenceArm.total();
     for (const auto &entry : arms) {
         const auto total = entry.total();
         out << "arm " << entry.arm << " (seed " << entry.seed << ", runs " << entry.repeats << ")\n";
@@ -191,12 +191,12 @@
                 writeRow(out, key.first + " / " + key.second, sums, entry.hasQualityData);
         }
         writeRow(out, "all", total, entry.hasQualityData);
-        const auto own = ratio(total.costMicroUnits, total.met);
-        const auto first = ratio(base.costMicroUnits, base.met);
+        const auto cost = ratio(total.costMicroUnits, total.met);
+        const auto referenceCost = ratio(referenceTotal.costMicroUnits, referenceTotal.met);
         out << "  cost per answer at the target relative to " << referenceArm.arm << ": "
-            << (first > 0 ? fixed(own / first, 3) : "-") << "; retry amplification " << fixed(entry.amplification(), 3)
-            << "; prefix cache hits " << fixed(100 * ratio(entry.cacheHits, entry.cacheHits + entry.cacheMisses), 1)
-            << " %\n";
+            << (referenceCost > 0 ? fixed(cost / referenceCost, 3) : "-") << "; retry amplification "
+            << fixed(entry.amplification(), 3) << "; prefix cache hits "
+            << fixed(100 * ratio(entry.cacheHits, entry.cacheHits + entry.cacheMisses), 1) << " %\n";
         for (const auto &[reason, number] : total.reasons)
             out << "  reason " << reason << ": " << number << '\n';
         writeIncidents(out, entry.incidents);
--- a/tools/load_report.h
+++ b/tools/load_report.h
@@ -24,7 +24,7 @@
     std::uint64_t costMicroUnits = 0;
     std::uint64_t runs = 0; ///< attempts started by an upstream
     std::uint64_t maxRuns = 0; ///< of one request id
-    std::uint64_t bills = 0;
+    std::uint64_t bills = 0; ///< bills written to the ledger
     std::uint64_t maxBills = 0; ///< of one request id
     std::uint64_t retriedNonIdempotent = 0; ///< request ids of non-idempotent kinds that ran more than once
 
@@ -36,7 +36,7 @@
 struct incident {
     std::string version;
     double badAtSeconds = -1; ///< -1: no quality drop, so the halt is a false positive
-    double haltedAtSeconds = -1; ///< the last host stopped new sessions; -1: not all did
+    double haltedAtSeconds = -1; ///< when the last host stopped new sessions; -1: not all hosts did
     std::uint64_t responsesBeforeHalt = 0; ///< responses produced between the two times
     std::uint64_t failingDelivered = 0; ///< responses below the target that callers received, to the end of the run
 };
@@ -56,13 +56,14 @@
 
     [[nodiscard]] request_totals total() const;
     [[nodiscard]] std::map<std::string, request_totals> byWorkload() const;
-    [[nodiscard]] double amplification() const;
+    [[nodiscard]] double amplification() const; ///< attempts per first attempt; 1: no retries
 };
 
 /// @returns the given quantile of the values, or 0 if there are none.
 [[nodiscard]] double quantile(std::vector<double> values, double share);
 
 /// @param reference arm that costs are compared with; an unknown name selects the first.
+/// @param perAccount adds a row for each workload and client account.
 void writeTable(std::ostream &out, const std::vector<arm_report> &arms, const std::string &reference, bool perAccount);
 [[nodiscard]] nlohmann::json toJson(const std::vector<arm_report> &arms);
 /// Bars for each arm: cost per response that met the target, share that met it, 95th percentile of latency.
--- a/tools/load_simulation.cpp
+++ b/tools/load_simulation.cpp
@@ -11,9 +11,11 @@
 
 constexpr std::int64_t kStartUnixSeconds = 1790000000; ///< wall clock at virtual time 0
 constexpr std::chrono::seconds kDrainTime{900}; ///< after the last arrival, for queued requests to finish
-constexpr std::chrono::seconds kReportTail{
-    150}; ///< load reports continue this long after the last arrival; exceeds any deadline
-constexpr std::chrono::seconds kSharePeriod{1}; ///< of limit shares
+/// Time for which load reports continue after the last arrival; exceeds every timeout of the example experiments (120 s
+/// at most).
+constexpr std::chrono::seconds kReportTail{150};
+/// Interval at which each host's share of the account limits is updated.
+constexpr std::chrono::seconds kSharePeriod{1};
 
 } // namespace
 
@@ -77,13 +79,13 @@
     const milliseconds period{std::max(1U, m_settings.loadReportMs)};
     for (instant at{}; at <= last; at += period) {
         m_clock.at(at, [this, period] {
-            for (const auto &source : m_upstreams) {
-                const load_report report{.upstream = source->info().name,
-                                         .running = source->running(),
-                                         .queued = source->queued(),
-                                         .slots = source->info().slots,
+            for (const auto &entry : m_upstreams) {
+                const load_report report{.upstream = entry->info().name,
+                                         .running = entry->running(),
+                                         .queued = entry->queued(),
+                                         .slots = entry->info().slots,
                                          .measuredAt = m_clock.now()};
-                for (std::size_t i = 0; source->isUp() && i < m_hosts.size(); ++i)
+                for (std::size_t i = 0; entry->isUp() && i < m_hosts.size(); ++i)
                     feedLater(period / 2, i, report);
             }
         });
--- a/tools/load_simulation.h
+++ b/tools/load_simulation.h
@@ -29,23 +29,23 @@
         }
         std::string name;
         router_core core;
-        std::optional<instant> timerAt;
+        std::optional<instant> timerAt; ///< time of the scheduled timer tick
         std::map<std::string, version_evidence> shared; ///< this host's results published through the relay, by version
         std::map<std::string, std::uint64_t> arrivals; ///< by account, in the current second
     };
     /// One submission of a request to one host.
     struct submission {
         std::size_t request = 0; ///< index into m_requests
-        std::size_t host = 0;
+        std::size_t host = 0; ///< index into m_hosts
         instant at{};
         std::map<std::string, bool> verdicts; ///< by version: whether its response meets the target
     };
     /// Progress and result of one planned request.
     struct request_state {
         std::uint32_t submitCount = 0;
-        std::uint32_t open = 0;
-        std::uint64_t runs = 0;
-        std::uint64_t bills = 0;
+        std::uint32_t open = 0; ///< submissions without a response so far
+        std::uint64_t runs = 0; ///< attempts started by an upstream
+        std::uint64_t bills = 0; ///< bills written to the ledger
         std::uint64_t costMicroUnits = 0;
         std::optional<finish_request> best; ///< the complete response, otherwise the last outcome
         bool met = false;
@@ -55,7 +55,7 @@
     struct open_attempt {
         std::string upstream;
         std::string version;
-        std::size_t submission = 0;
+        std::size_t submission = 0; ///< index into m_submissions
         instant startedAt{};
     };
     struct ledger_entry {
@@ -79,6 +79,7 @@
     // Callers: load_simulation.cpp.
     void send(std::size_t request);
     void sendTo(std::size_t request, std::size_t hostIndex);
+    /// Passes an input to the decision core of a host and executes the resulting actions.
     void feed(std::size_t hostIndex, const core_input &input);
     void feedLater(milliseconds delay, std::size_t hostIndex, core_input input);
     void armTimer(std::size_t hostIndex);
@@ -105,6 +106,7 @@
     void endAttempt(const attempt_key &key, std::optional<attempt_failure> failure);
     [[nodiscard]] bool meetsTarget(const planned_request &request, const std::string &version) const;
     void scheduleRelay();
+    /// Publishes the results and halts of each host to all hosts.
     void runRelay();
     void recordHalt(std::size_t hostIndex, const std::string &version);
     void recordResponse(const open_attempt &attempt);
@@ -124,7 +126,7 @@
     std::map<std::pair<std::string, std::string>, ledger_entry> m_ledger; ///< by account and request or session id
     std::map<std::string, std::string> m_sessionTokens; ///< by session
     std::map<std::pair<std::size_t, std::string>, version_evidence>
-        m_unpublished; ///< results not yet published through the relay
+        m_unpublished; ///< results not yet published through the relay, by host and version
     std::map<std::string, std::set<std::size_t>> m_haltedOn; ///< hosts that have received a halt, by version
     std::set<std::string> m_halts; ///< versions whose halt is published through the relay
     std::map<std::string, incident> m_incidents; ///< by version
--- a/tools/load_simulation_ports.cpp
+++ b/tools/load_simulation_ports.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr milliseconds kNetworkDelay{1}; ///< one-way delay between a host and an upstream
-constexpr milliseconds kMinResendDelay{10}; ///< retry delay of a caller that received no longer one
+constexpr milliseconds kMinResendDelay{10}; ///< minimum retry delay of a caller, if the response requests less
 constexpr std::uint32_t kPassingScore = 980; ///< permille; above every target
 constexpr std::uint32_t kFailingScore = 200;
 
@@ -192,11 +192,12 @@
 void simulation::on(std::size_t /*host*/, const record_event &action)
 {
     const auto index = static_cast<std::size_t>(action.request);
-    const bool counts = index > 0 && isReported(m_submissions[index - 1].request);
-    if (action.type == "dispatched" && counts)
+    const bool isCounted = index > 0 && isReported(m_submissions[index - 1].request);
+    if (action.type == "dispatched" && isCounted)
         ++m_report.firstAttempts;
-    if (action.type == "queued" && action.reason.starts_with("retry") && counts) {
+    if (action.type == "queued" && action.reason.starts_with("retry") && isCounted) {
         ++m_report.retries;
+        // Offsets the increment at the dispatch of the retry, which is not a first attempt.
         --m_report.firstAttempts;
     }
 }
--- a/tools/load_upstreams.cpp
+++ b/tools/load_upstreams.cpp
@@ -39,9 +39,9 @@
         return job.failed(attempt_failure::not_sent);
     if (m_running.size() >= m_settings.slots && m_queue.size() >= m_settings.queueLimit)
         return job.failed(attempt_failure::overloaded);
-    const auto place =
+    const auto position =
         std::ranges::find_if(m_queue, [&](const upstream_job &other) { return other.priority > job.priority; });
-    m_queue.insert(place, std::move(job));
+    m_queue.insert(position, std::move(job));
     startNext();
 }
 
@@ -52,11 +52,11 @@
         m_queue.pop_front();
         const auto id = job.id;
         const auto run = ++m_runs;
-        const auto time = serviceTime(job);
+        const auto duration = serviceTime(job);
         if (job.started)
             job.started();
         m_running.emplace(id, std::pair(run, std::move(job)));
-        m_clock.after(time, [this, id, run] { end(id, run); });
+        m_clock.after(duration, [this, id, run] { end(id, run); });
     }
 }
 
@@ -65,9 +65,9 @@
     const bool isCached = job.prefixTokens > 0 && accessPrefixCache(job.prefix);
     const auto uncachedTokens = job.promptTokens - (isCached ? std::min(job.promptTokens, job.prefixTokens) : 0);
     const auto load = static_cast<double>(m_running.size()) / std::max(1U, m_settings.slots);
-    const auto token = m_settings.tokenMs * (1 + kFullLoadSlowdown * load);
-    return milliseconds{
-        static_cast<std::int64_t>(uncachedTokens * m_settings.prefillMsPer1k / 1000 + job.completionTokens * token)};
+    const auto msPerToken = m_settings.tokenMs * (1 + kFullLoadSlowdown * load);
+    return milliseconds{static_cast<std::int64_t>(uncachedTokens * m_settings.prefillMsPer1k / 1000
+                                                  + job.completionTokens * msPerToken)};
 }
 
 bool upstream::accessPrefixCache(std::uint64_t prefix)
--- a/tools/load_upstreams.h
+++ b/tools/load_upstreams.h
@@ -29,7 +29,7 @@
     instant m_now{};
 };
 
-/// An attempt as an upstream sees it.
+/// An attempt submitted to an upstream.
 struct upstream_job {
     std::string id; ///< unique over all hosts
     std::uint64_t prefix = 0; ///< of the prompt; equal prefixes can be cached
@@ -47,7 +47,9 @@
 public:
     upstream(virtual_clock &clock, upstream_info info, const pool &settings);
 
+    /// Starts or queues a job; calls job.failed at once if the upstream is down or slots and queue are full.
     void submit(upstream_job job);
+    /// Removes a queued or running job; neither job.done nor job.failed is called.
     void cancel(const std::string &id);
     /// Fails all jobs; further ones are rejected as not sent until restart().
     void crash();
