--- a/tools/standin_platform_p.h
+++ b/tools/standin_platform_p.h
@@ -59,12 +59,13 @@
     bool outage = false; ///< the object API responds with 503
     std::int64_t responseDelayMs = 0; ///< delay of object API responses; the call itself takes effect immediately
     std::int64_t responsesToLose =
-        0; ///< number of next writes that take effect but close the connection without a response
-    std::int64_t hostListLagMs = 0;
+        0; ///< number of further writes that take effect but whose connection is closed without a response
+    std::int64_t hostListLagMs = 0; ///< age of the host list that GET /hosts returns
     bool hostListDown = false;
     bool ratingDown = false;
 };
 
+/// Rate limit of POST /weights.
 struct platform_options {
     std::int64_t weightsPerSecond = 5;
     std::int64_t weightsBurst = 5;
@@ -79,10 +80,11 @@
 
     [[nodiscard]] object_table &objects() { return m_objects; }
 
-    /// @param json list of hosts. @returns whether the text was valid.
-    bool addHosts(const std::string &json);
+    /// @param text JSON list of hosts. @returns whether it was valid; hosts before an invalid one are added.
+    bool addHosts(const std::string &text);
 
 private:
+    /// Pending watch call.
     struct watcher {
         std::string key;
         object_version knownVersion = 0;
--- a/tools/standin_platform_service.cpp
+++ b/tools/standin_platform_service.cpp
@@ -84,9 +84,9 @@
 {
 }
 
-bool standin_platform::addHosts(const std::string &json)
+bool standin_platform::addHosts(const std::string &text)
 {
-    const auto hosts = json::parse(json, nullptr, false);
+    const auto hosts = json::parse(text, nullptr, false);
     return hosts.is_array()
         && std::ranges::all_of(hosts, [&](const auto &host) { return m_hosts.apply(host, event_loop::now()); });
 }
@@ -179,10 +179,10 @@
 
 void standin_platform::notifyWatchers(const std::string &key)
 {
-    const auto notified = std::stable_partition(m_watchers.begin(), m_watchers.end(),
-                                                [&](const watcher &entry) { return entry.key != key; });
-    const std::vector<watcher> ready(notified, m_watchers.end());
-    m_watchers.erase(notified, m_watchers.end());
+    const auto firstReady = std::stable_partition(m_watchers.begin(), m_watchers.end(),
+                                                  [&](const watcher &entry) { return entry.key != key; });
+    const std::vector<watcher> ready(firstReady, m_watchers.end());
+    m_watchers.erase(firstReady, m_watchers.end());
     for (const auto &entry : ready)
         serveRead(entry.exchange, key);
 }
--- a/tools/standin_upstream_p.h
+++ b/tools/standin_upstream_p.h
@@ -36,7 +36,7 @@
     std::int64_t lateMs = 0; ///< additional delay of the first token
     bool crossed = false; ///< inserts events of another attempt into the stream
     bool truncated = false; ///< ends streams halfway without the finish event
-    std::int64_t dropRuns = 0; ///< number of next runs that close their connection halfway
+    std::int64_t dropRuns = 0; ///< number of further runs whose connection is closed halfway
     std::map<std::string, double> badVersions; ///< probability, by version, that a response misses the target
     bool overload = false; ///< refuses new runs with 429
 };
@@ -66,6 +66,7 @@
     void startQueued();
     void emitToken(const run_ptr &current);
     void emitFinish(const run_ptr &current);
+    /// Sends events with the id of another attempt; used by the fault `crossed`.
     void emitOtherAttempt(const run_ptr &current);
     void end(const run_ptr &current);
     void onCancelled(const run_ptr &current);
