--- a/cmake/base.cmake
+++ b/cmake/base.cmake
@@ -1,4 +1,4 @@
-# Tasks, HTTP client and server, and command line, shared by all programs.
+# Event loop, HTTP client and server, log output, settings and command line, shared by all programs.
 add_library(foxtaildyke-base STATIC
     src/command_line.cpp
     src/event_loop.cpp
--- a/spec/fencing.pml
+++ b/spec/fencing.pml
@@ -4,7 +4,7 @@
  *
  * Properties: on the engine that checks tokens an older order never takes effect after a newer one, and tokens are
  * unique; the engine that ignores tokens converges to the state that the newest holder ordered, and executing an order
- * twice on it does no harm.
+ * twice on it has no further effect.
  *
  * Broken variants: NO_TOKEN_CHECK, TOKEN_REUSED, LEASE_UNCONDITIONAL, NO_READ_BACK, UNSAFE_ORDER. */
 
--- a/spec/key_lease.pml
+++ b/spec/key_lease.pml
@@ -1,6 +1,6 @@
-/* Key lease of a host that reads the configuration from the store or through a relay. Version 1 contains a
- * key that version 2 withdraws; responses take any time, and each process may pause at any point. docs/MODELS.md maps
- * the steps to the code.
+/* Key lease of a host that reads the configuration from the store or through a relay. Version 1 contains a key that
+ * version 2 withdraws; responses take any time, and each process may pause at any point. docs/MODELS.md maps the steps
+ * to the code.
  *
  * Property: no request with the key is accepted LEASE ticks or more after the operator's acknowledgement.
  *
--- a/spec/ledger.pml
+++ b/spec/ledger.pml
@@ -1,5 +1,5 @@
-/* One ledger segment, one key: two hosts that both believe to own the segment, and a third that appends to the log and
- * compacts it. docs/MODELS.md maps the steps to the code.
+/* One ledger segment, one key: two hosts that both act as owner of the segment, and a third that appends to the log
+ * and compacts it. docs/MODELS.md maps the steps to the code.
  *
  * Properties: the request runs at most once; it is billed once if its response was delivered; a host that reported
  * "not run" has no effective claim.
@@ -27,7 +27,7 @@
 byte floor;
 byte runs;
 byte bills;          /* bill batches in the log */
-byte told[2];
+byte told[2];        /* outcome that each host has reported */
 byte late[2];        /* 1 + index of a create in flight; 0 none */
 bool copyKept;       /* a host of another failure domain holds a copy of the bill */
 
@@ -86,7 +86,7 @@
     byte known;     /* claim in m_index */
     byte from;      /* m_unverifiedFrom + 1; 0 none */
     byte seen;
-    bool uncertain; /* m_uncertain */
+    bool uncertain; /* m_batchMaybeWritten */
 
 load:
     atomic { next = base; known = baseClaim; from = next + 1; uncertain = false }
