--- a/src/acceptance_p.h
+++ b/src/acceptance_p.h
@@ -19,7 +19,8 @@
     std::vector<std::string> halted; ///< versions that are halted because of failed requests
 };
 
-/// Tracks acknowledgements of the generations that this process knows and determines the accepted one.
+/// Tracks the acknowledgements of the generations that this process has read or written, and determines the newest
+/// accepted one.
 /// @remarks Invariant: m_accepted never decreases.
 class acceptance
 {
@@ -35,6 +36,8 @@
     bool tick(instant now);
 
     [[nodiscard]] generation_number accepted() const { return m_accepted; }
+
+    /// @returns the newest recorded generation, or 0 if there is none.
     [[nodiscard]] generation_number newest() const;
 
     /// @returns whether more than half of the generation's registered hosts have acknowledged it or a later one.
@@ -46,14 +49,14 @@
 private:
     struct known_generation {
         std::set<std::string> hosts; ///< registered in this generation
-        std::chrono::milliseconds lease{};
+        std::chrono::milliseconds lease{}; ///< freshness lease that this generation sets
         std::optional<instant> majorityAt; ///< when a majority was first observed
     };
 
     /// Effect of a change on hosts that have not acknowledged it.
     struct change_effect {
-        bool replacesHosts = false; ///< removes or replaces a registered host, which may still hold a lease
-        bool changesLease = false; ///< the lease before the change may have been longer
+        bool replacesHosts = false; ///< removes or replaces a registered host, which may still hold a freshness lease
+        bool changesLease = false; ///< changes the freshness lease; the previous one may have been longer
     };
 
     [[nodiscard]] static change_effect effectOf(const config_change &change);
@@ -62,7 +65,7 @@
     [[nodiscard]] bool isAcknowledgedByAll(generation_number generation) const;
     void accept(generation_number generation);
 
-    std::map<generation_number, known_generation> m_known; ///< m_accepted (if known) and later generations
+    std::map<generation_number, known_generation> m_known; ///< recorded generations from m_accepted on
     std::map<generation_number, change_effect> m_changes; ///< by generation; only those after m_accepted
     /// Generation that each host acknowledged in the last status. Acknowledgements from earlier statuses don't count: a
     /// host that has restarted during an outage since then may hold an older generation, so two majorities might
--- a/src/admin_api.cpp
+++ b/src/admin_api.cpp
@@ -24,6 +24,7 @@
     return left.size() == right.size() && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
+/// @returns the number at the beginning of a query parameter, or 0 if there is none.
 std::uint64_t parseNumber(const std::map<std::string, std::string> &query, const std::string &name)
 {
     const auto found = query.find(name);
@@ -132,8 +133,8 @@
     const auto *author = authenticate(request.authorization);
     if (!author)
         return done(errorResponse({error_code::unauthenticated, "Authorization"}));
-    const auto isMatch = [&](const route &one) {
-        return one.path == request.path && one.method == request.method;
+    const auto isMatch = [&](const route &candidate) {
+        return candidate.path == request.path && candidate.method == request.method;
     };
     const auto found = std::ranges::find_if(routes(), isMatch);
     if (found == routes().end())
@@ -219,7 +220,8 @@
             return done(errorResponse(current.error()));
         const auto &history = current.value().history;
         const bool isKnown = std::ranges::find(history, request.changeId, &config_change::changeId) != history.end();
-        // The edits of a published change must not be derived a second time, from the configuration it produced.
+        // A repeated request whose change has been published must not derive the edits again: the current configuration
+        // already contains them.
         auto edits = isKnown ? result<std::vector<config_edit>>(std::vector<config_edit>{}) : source(current.value());
         if (edits.has_error())
             return done(errorResponse(edits.error()));
@@ -260,16 +262,16 @@
     m_now = now;
     m_unixMs = unixMs;
     std::vector<waiter> ready;
-    for (auto one = m_waiting.begin(); one != m_waiting.end();) {
-        const auto next = std::next(one);
-        if (m_control.acceptanceState().accepted() >= one->generation || now >= one->until) {
-            ready.push_back(std::move(*one));
-            m_waiting.erase(one);
+    for (auto position = m_waiting.begin(); position != m_waiting.end();) {
+        const auto next = std::next(position);
+        if (m_control.acceptanceState().accepted() >= position->generation || now >= position->until) {
+            ready.push_back(std::move(*position));
+            m_waiting.erase(position);
         }
-        one = next;
+        position = next;
     }
-    for (const auto &one : ready)
-        one.done(acceptanceResponse(one.generation));
+    for (const auto &entry : ready)
+        entry.done(acceptanceResponse(entry.generation));
 }
 
 void admin_api::status(const call &open)
--- a/src/admin_api_p.h
+++ b/src/admin_api_p.h
@@ -49,8 +49,9 @@
 public:
     using done_callback = std::function<void(admin_response)>;
 
-    static constexpr std::chrono::milliseconds kMaxWait{30000};
-    static constexpr std::size_t kMaxWaiting = 256; ///< requests that wait for acceptance at the same time
+    static constexpr std::chrono::milliseconds kMaxWait{30000}; ///< upper limit of a request's wait_ms
+    /// Requests that wait for acceptance at the same time; further ones are answered without waiting.
+    static constexpr std::size_t kMaxWaiting = 256;
 
     admin_api(controller &control, std::vector<operator_account> operators, controller::event_sink onEvent);
 
--- a/src/admin_json_p.h
+++ b/src/admin_json_p.h
@@ -30,9 +30,13 @@
     }
 }
 
+/// Parses the body of a request.
+/// @returns the settings, protocol_violation with the name of the missing or malformed member, or an error of
+/// parseIni() whose field begins with the layer.
 [[nodiscard]] result<sent_settings> readSettings(const nlohmann::json &body);
 
-/// @returns the layers that result from applying an operator's files to the current configuration.
+/// @returns an operator's layers; unless `withHosts` is set, their registered hosts are those of the current
+/// configuration.
 [[nodiscard]] config_layers mergeHosts(const sent_settings &sent, const config_document &current);
 
 [[nodiscard]] admin_response jsonResponse(int status, const nlohmann::json &body);
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -31,7 +31,7 @@
     std::erase_if(m_missingSince, [&](const auto &missing) {
         return isListed(missing.first) || !config.hostByName(missing.first).isValid();
     });
-    // An empty list is either faulty or comes from a platform that doesn't list entry hosts.
+    // No host is removed because of an empty list: it is faulty or comes from a platform that doesn't list entry hosts.
     for (const auto &host : config.hosts) {
         if (listed.empty() || isListed(host.name))
             continue;
@@ -71,9 +71,9 @@
     m_publisher.tick(now);
     m_lease.tick(now, leasePollPeriod());
     updateAcceptance();
-    if (now >= m_nextStatus && !m_statusOpen)
+    if (now >= m_nextStatusPoll && !m_isStatusCallOpen)
         pollStatus();
-    if (now >= m_nextConfig && !m_configOpen && (isHolder() || m_document.generation == 0))
+    if (now >= m_nextConfigRead && !m_isConfigReadOpen && (isHolder() || m_document.generation == 0))
         pollConfig();
     if (isHolder() != m_wasHolder) {
         m_wasHolder = isHolder();
@@ -121,12 +121,12 @@
 
 void controller::pollStatus()
 {
-    m_statusOpen = true;
-    m_nextStatus = m_now + kStatusPeriod;
+    m_isStatusCallOpen = true;
+    m_nextStatusPoll = m_now + kStatusPeriod;
     m_statusPort.status([this, alive = m_alive](const result<host_status> &status) {
         if (!*alive)
             return;
-        m_statusOpen = false;
+        m_isStatusCallOpen = false;
         m_status.reset();
         if (status.has_error())
             return;
@@ -150,11 +150,11 @@
 
 void controller::pollConfig()
 {
-    m_configOpen = true;
-    m_nextConfig = m_now + kReadPeriod;
+    m_isConfigReadOpen = true;
+    m_nextConfigRead = m_now + kReadPeriod;
     read([this, alive = m_alive](const result<config_document> &) {
         if (*alive)
-            m_configOpen = false;
+            m_isConfigReadOpen = false;
     });
 }
 
@@ -176,17 +176,17 @@
 {
     if (m_document.generation == 0)
         return;
-    if (mayPublishOwn())
+    if (mayPublishOwnChange())
         publishHalts();
-    if (mayPublishOwn() && m_hostsKnown)
+    if (mayPublishOwnChange() && m_hostsKnown)
         registerHosts();
     if (m_hostsKnown)
         orderLoads();
 }
 
-bool controller::mayPublishOwn() const
+bool controller::mayPublishOwnChange() const
 {
-    return !m_ownChangeOpen && m_now >= m_nextOwnChange;
+    return !m_isOwnChangeOpen && m_now >= m_nextOwnChange;
 }
 
 void controller::publishHalts()
@@ -202,7 +202,7 @@
         emit({"version_halted", name, {}, "evidence", m_document.generation});
     }
     if (!edits.empty())
-        publishOwn("halt", std::move(edits), false);
+        publishOwnChange("halt", std::move(edits), false);
 }
 
 /// The next change of hosts waits until a majority of the current set has acknowledged, so that majorities of
@@ -219,8 +219,9 @@
           {},
           edits.front().section,
           m_document.generation});
-    // A process that lost the lease while it was paused must not publish a change of hosts after its successor's.
-    publishOwn("hosts", std::move(edits), true);
+    // mustBeNewest: a process that lost the lease while it was paused must not publish a change of hosts after its
+    // successor's.
+    publishOwnChange("hosts", std::move(edits), true);
 }
 
 void controller::orderLoads()
@@ -244,9 +245,9 @@
         return;
     const auto key = target.name + '/' + version.name;
     auto &state = m_orders[key];
-    const auto open = std::ranges::count_if(m_orders, [](const auto &entry) { return entry.second.open; });
+    const auto openOrders = std::ranges::count_if(m_orders, [](const auto &entry) { return entry.second.open; });
     const bool isTooEarly = state.sentAt != instant{} && m_now - state.sentAt < kOrderRetry;
-    if (state.open || isTooEarly || static_cast<std::size_t>(open) >= kMaxOpenOrders)
+    if (state.open || isTooEarly || static_cast<std::size_t>(openOrders) >= kMaxOpenOrders)
         return;
     state = {m_now, true};
     const engine_order order{target, model.name, version.name, m_lease.token()};
@@ -273,9 +274,9 @@
     emit({isConfirmed ? "load_confirmed" : "load_failed", order.version, order.target.name, {}, m_document.generation});
 }
 
-void controller::publishOwn(const std::string &reason, std::vector<config_edit> edits, bool mustBeNewest)
+void controller::publishOwnChange(const std::string &reason, std::vector<config_edit> edits, bool mustBeNewest)
 {
-    m_ownChangeOpen = true;
+    m_isOwnChangeOpen = true;
     change_request request;
     request.changeId = m_host + '/' + m_incarnation + '/' + reason + '/' + std::to_string(++m_ownChanges);
     request.author = "controller@" + m_host;
@@ -287,13 +288,13 @@
     publish(std::move(request), [this, alive = m_alive, author](const result<published_change> &published) {
         if (!*alive)
             return;
-        m_ownChangeOpen = false;
+        m_isOwnChangeOpen = false;
         if (published.has_value() && published.value().isNew)
             emit({"change_published", {}, {}, author, published.value().generation});
         if (published.has_value())
             return;
         // Read the current configuration; the change is derived from it again if it is still needed.
-        m_nextConfig = m_now;
+        m_nextConfigRead = m_now;
         m_nextOwnChange = m_now + kReadPeriod;
     });
 }
--- a/src/controller_lease_p.h
+++ b/src/controller_lease_p.h
@@ -48,7 +48,7 @@
     /// the lease was acquired, so the term of a previous holder that was paused has expired.
     [[nodiscard]] bool mayOrderUnfenced(instant now) const;
 
-    /// Ends the term because an engine has seen a higher token.
+    /// Ends the term. Called when an engine has rejected the token because it has received a higher one.
     void relinquish();
 
     /// @returns the fencing token; valid only while mayAct() returns true.
--- a/src/controller_p.h
+++ b/src/controller_p.h
@@ -31,8 +31,8 @@
 class order_port
 {
 public:
-    /// Receives the versions that the engine has loaded, or error_code::conflict if it has seen a higher fencing
-    /// token.
+    /// Receives the versions that the engine has loaded, or error_code::conflict if it has received a higher
+    /// fencing token.
     using load_done = std::function<void(result<std::vector<std::string>>)>;
     virtual ~order_port() = default;
     virtual void load(const engine_order &order, load_done done) = 0;
@@ -74,7 +74,7 @@
     static constexpr std::chrono::milliseconds kReadPeriod{1000}; ///< of the configuration, by the lease holder
     static constexpr std::chrono::milliseconds kStatusPeriod{500};
     static constexpr std::chrono::milliseconds kOrderRetry{10000}; ///< per engine and version
-    static constexpr std::size_t kMaxOpenOrders = 8;
+    static constexpr std::size_t kMaxOpenOrders = 8; ///< load orders in flight
 
     using event_sink = std::function<void(controller_event)>;
 
@@ -110,7 +110,7 @@
 
     void pollStatus();
     void updateAcceptance();
-    [[nodiscard]] bool mayPublishOwn() const;
+    [[nodiscard]] bool mayPublishOwnChange() const;
     void pollConfig();
     void adopt(const config_document &document);
     void runHolderTasks();
@@ -119,7 +119,7 @@
     void orderLoads();
     void orderLoad(const upstream_info &target, const version_config &version);
     void onLoaded(const std::string &key, const engine_order &order, const result<std::vector<std::string>> &loaded);
-    void publishOwn(const std::string &reason, std::vector<config_edit> edits, bool mustBeNewest);
+    void publishOwnChange(const std::string &reason, std::vector<config_edit> edits, bool mustBeNewest);
     void emit(controller_event event);
     [[nodiscard]] std::chrono::milliseconds leasePollPeriod() const;
 
@@ -135,11 +135,11 @@
 
     instant m_now{};
     std::int64_t m_unixMs = 0;
-    instant m_nextStatus{};
-    instant m_nextConfig{};
-    bool m_statusOpen = false;
-    bool m_configOpen = false;
-    bool m_ownChangeOpen = false; ///< a change by the controller itself is being published; only one at a time
+    instant m_nextStatusPoll{};
+    instant m_nextConfigRead{};
+    bool m_isStatusCallOpen = false;
+    bool m_isConfigReadOpen = false;
+    bool m_isOwnChangeOpen = false; ///< a change by the controller itself is being published; only one at a time
     instant m_nextOwnChange{}; ///< earliest time of the next attempt after a failed change
     bool m_wasHolder = false;
     std::uint64_t m_ownChanges = 0; ///< counter for change ids
--- a/src/freshness.cpp
+++ b/src/freshness.cpp
@@ -13,9 +13,9 @@
 /// different rates, as in the acceptance rule.
 constexpr int kMarginDivisor = 10;
 
-bool isMajority(std::size_t count, std::size_t of)
+bool isMajority(std::size_t count, std::size_t total)
 {
-    return 2 * count > of;
+    return 2 * count > total;
 }
 
 } // namespace
@@ -66,10 +66,10 @@
 }
 
 bool freshness::recordRecoverResponse(const std::string &host, bool isRecovering, generation_number generation,
-                                      instant askedAt)
+                                      instant sentAt)
 {
     recordGeneration(generation);
-    if (askedAt < earliestRecoverCall() || isRecovering || generation == 0 || host == m_host)
+    if (sentAt < earliestRecoverCall() || isRecovering || generation == 0 || host == m_host)
         return !m_recovering;
     m_recoverResponses.insert(host);
     endRecoveryOnQuorum();
--- a/src/freshness_p.h
+++ b/src/freshness_p.h
@@ -23,7 +23,7 @@
 class freshness
 {
 public:
-    /// @param startedAt start of this process on the clock of every later call.
+    /// @param startedAt start of this process, on the same clock as the times passed to later calls.
     freshness(std::string hostName, instant startedAt);
 
     /// Adopts a configuration from the store or a peer.
@@ -48,12 +48,12 @@
     [[nodiscard]] instant earliestRecoverCall() const;
 
     /// Records the response of another host to a Recover call.
-    /// @param askedAt when the call was sent; calls before earliestRecoverCall() are not counted.
+    /// @param sentAt when the call was sent; calls before earliestRecoverCall() are not counted.
     /// @returns whether this host has left the recovering state. It does so when more than half of the registered hosts
     /// have responded (this host and recovering ones are not counted) and the highest generation among the responses
     /// has been adopted.
     bool recordRecoverResponse(const std::string &host, bool isRecovering, generation_number generation,
-                               instant askedAt);
+                               instant sentAt);
 
     /// @param acknowledgedAt for each registered host the time of its newest acknowledgement of the adopted generation,
     /// or kNotAcknowledged.
@@ -70,7 +70,7 @@
     [[nodiscard]] bool mayDispatch(instant now) const;
 
     /// @returns whether this host may acknowledge its generation: it is registered, not recovering, and has adopted the
-    /// highest generation it knows.
+    /// highest recorded generation.
     [[nodiscard]] bool mayAcknowledge() const;
 
     [[nodiscard]] bool isRecovering() const { return m_recovering; }
