--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -42,10 +42,10 @@
                                                       instant now)
 {
     // Each refused caller is assigned the time of the next token that is not yet assigned to an earlier caller.
-    const auto free = now + std::chrono::microseconds{static_cast<std::int64_t>(waitSeconds * 1e6)};
-    const auto next = state.lastRetryAt + std::chrono::microseconds{static_cast<std::int64_t>(1e6 / rate)};
-    const auto maximum = now + std::chrono::microseconds{static_cast<std::int64_t>(kMaxRetryAfterSeconds * 1e6)};
-    state.lastRetryAt = std::min(std::max(free, next), maximum);
+    const auto nextTokenAt = now + std::chrono::microseconds{static_cast<std::int64_t>(waitSeconds * 1e6)};
+    const auto nextUnassignedAt = state.lastRetryAt + std::chrono::microseconds{static_cast<std::int64_t>(1e6 / rate)};
+    const auto latestAt = now + std::chrono::microseconds{static_cast<std::int64_t>(kMaxRetryAfterSeconds * 1e6)};
+    state.lastRetryAt = std::min(std::max(nextTokenAt, nextUnassignedAt), latestAt);
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(state.lastRetryAt - now);
     return wait + std::chrono::milliseconds{std::uniform_int_distribution<std::int64_t>(1, 100)(m_random)};
 }
--- a/src/admission_p.h
+++ b/src/admission_p.h
@@ -29,6 +29,7 @@
 /// @returns the share of an account's limits that one host gets: nine tenths in proportion to demand, one tenth evenly,
 /// so that a host whose first requests arrive can admit some before the next demand exchange. The shares of all hosts
 /// add up to 1.
+/// @param own demand of this host.
 /// @param total demand over all hosts; 0: even shares.
 [[nodiscard]] double limitShare(double own, double total, std::size_t hosts);
 
@@ -76,7 +77,8 @@
     [[nodiscard]] std::chrono::milliseconds estimateQueueWait(std::string_view account, request_class priority,
                                                               std::string_view pool) const;
 
-    /// @returns the estimate plus a random part of up to half of it, so that refused callers do not retry all at once.
+    /// @returns the estimate plus a random part of up to half of it (at least 10 ms), so that refused callers do not
+    /// retry all at once.
     [[nodiscard]] std::chrono::milliseconds addJitter(std::chrono::milliseconds estimate);
 
     /// Records the first attempt of a request, which adds to the retry budget.
@@ -121,7 +123,7 @@
     std::unordered_map<std::uint64_t, queued> m_queued; ///< by request; same entries as m_order
     std::array<double, kClasses> m_virtualTime{}; ///< start tag of the last request that left the queue, by class
     std::uint64_t m_sequence = 0;
-    double m_unspentAttempts; ///< first attempts not yet charged for retries
+    double m_unspentAttempts; ///< retry budget in first attempts; a retry costs 100 / retryBudgetPercent of them
     std::mt19937_64 m_random;
 };
 
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -122,10 +122,11 @@
     return candidate.inFlight + others * std::exp(-std::max(0.0, age - kReportFreshSeconds) / kReportDecaySeconds);
 }
 
-double balancer::unreportedStarts(const replica &candidate, std::size_t hosts, instant now)
+/// Estimates the attempts that the other hosts have started since the last report, assuming that each has started as
+/// many as this host. Returns 0 without a recent report: only a report resets the count, so it would otherwise grow
+/// until this host no longer used a pool that is free.
+double balancer::estimateOthersStarts(const replica &candidate, std::size_t hosts, instant now)
 {
-    // Without recent reports the starts would only accumulate and finally keep this host from using a pool that is
-    // free.
     const auto age = std::chrono::duration<double>(now - candidate.reportedAt).count();
     if (candidate.reportedAt < instant{} || age > kReportFreshSeconds || hosts < 2)
         return 0;
@@ -154,14 +155,16 @@
     return loadOf(candidate, now) / std::max(1U, candidate.info.slots) + distance;
 }
 
+/// Chooses the better of two random replicas by score(), or the one that probably caches the prefix if its load
+/// permits.
 balancer::replica *balancer::choose(const pool &available, std::uint64_t prefixHash, double meanLoad, instant now)
 {
-    const auto last = available.size() - 1;
-    const auto first = std::uniform_int_distribution<std::size_t>(0, last)(m_random);
-    const auto offset = last == 0 ? 0 : std::uniform_int_distribution<std::size_t>(1, last)(m_random);
-    auto *one = available[first];
-    auto *two = available[(first + offset) % available.size()];
-    auto *best = score(*two, now) < score(*one, now) ? two : one;
+    const auto lastIndex = available.size() - 1;
+    const auto firstIndex = std::uniform_int_distribution<std::size_t>(0, lastIndex)(m_random);
+    const auto offset = lastIndex == 0 ? 0 : std::uniform_int_distribution<std::size_t>(1, lastIndex)(m_random);
+    auto *first = available[firstIndex];
+    auto *second = available[(firstIndex + offset) % available.size()];
+    auto *best = score(*second, now) < score(*first, now) ? second : first;
     if (prefixHash == 0)
         return best;
     auto *prefixReplica = *std::ranges::max_element(
@@ -180,16 +183,16 @@
     pool available;
     double slots = 0;
     double load = 0;
-    double unreported = 0;
-    double own = 0;
+    double othersStarts = 0;
+    double ownInFlight = 0;
     for (auto *entry : *members) {
         if (isOpen(*entry, now))
             continue;
         const auto used = loadOf(*entry, now);
         slots += entry->info.slots;
         load += std::min<double>(used, entry->info.slots);
-        own += entry->inFlight;
-        unreported += unreportedStarts(*entry, request.hosts, now);
+        ownInFlight += entry->inFlight;
+        othersStarts += estimateOthersStarts(*entry, request.hosts, now);
         // The remainder of a decayed report is ignored: it must not make the last slot unavailable.
         if (used + 0.5 < entry->info.slots && entry->info.name != request.exclude)
             available.push_back(entry);
@@ -201,10 +204,10 @@
     const auto reserve =
         isInteractive ? 0.0 : std::min(slots - 1, std::ceil(slots * tune.interactiveReservePercent / 100));
     const auto hosts = static_cast<double>(std::max<std::size_t>(1, request.hosts));
-    // A host is the first to see the slots that its own attempts free. Above its even share it leaves some of them to
-    // hosts below theirs.
-    const bool isAboveShare = !isInteractive && hosts > 1 && own * hosts >= slots - reserve;
-    const auto occupied = isInteractive ? load : load + unreported + (isAboveShare ? kYieldShare * slots : 0);
+    // Slots freed by this host's own attempts become visible to it before other hosts. Above its even share of the pool
+    // it therefore leaves some of them to hosts below theirs.
+    const bool isAboveShare = !isInteractive && hosts > 1 && ownInFlight * hosts >= slots - reserve;
+    const auto occupied = isInteractive ? load : load + othersStarts + (isAboveShare ? kYieldShare * slots : 0);
     if (available.empty() || slots - occupied < reserve + 0.5)
         return nullptr;
     return &choose(available, request.prefixHash, load / static_cast<double>(members->size()), now)->info;
--- a/src/balancer_p.h
+++ b/src/balancer_p.h
@@ -32,6 +32,8 @@
     void setUpstreams(const std::vector<upstream_info> &upstreams);
 
     /// Applies a load report; one that is not newer than the last is ignored.
+    /// @param running requests that the replica runs, of all hosts; likewise `queued`.
+    /// @param slots 0: unknown, the previous value is kept.
     void report(std::string_view upstream, std::uint32_t running, std::uint32_t queued, std::uint32_t slots,
                 instant measuredAt);
 
@@ -39,7 +41,8 @@
     /// setUpstreams().
     [[nodiscard]] const upstream_info *pick(const pick_request &request, const tuning &tune, instant now);
 
-    /// @returns whether any live replica with a closed circuit serves the version, whether or not it has a free slot.
+    /// @returns whether any live replica whose circuit is not open serves the version, whether or not it has a free
+    /// slot.
     [[nodiscard]] bool isServed(std::string_view service, std::string_view version, instant now) const;
 
     /// @returns number of replicas of a version among which this host chooses.
@@ -71,7 +74,7 @@
     void limitPool(pool &members) const;
     [[nodiscard]] const pool *findPool(std::string_view service, std::string_view version) const;
     [[nodiscard]] static double loadOf(const replica &candidate, instant now);
-    [[nodiscard]] static double unreportedStarts(const replica &candidate, std::size_t hosts, instant now);
+    [[nodiscard]] static double estimateOthersStarts(const replica &candidate, std::size_t hosts, instant now);
     [[nodiscard]] bool isLastClosed(const replica &candidate, instant now) const;
     [[nodiscard]] static bool isOpen(const replica &candidate, instant now);
     [[nodiscard]] double score(const replica &candidate, instant now) const;
--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -106,7 +106,7 @@
         auto &owner = exchange.owner;
         const auto token = exchange.token;
         const bool wasOpen = !exchange.isFinished && !exchange.isDisconnected;
-        owner.m_open.erase(static_cast<std::uint64_t>(token));
+        owner.m_exchanges.erase(static_cast<std::uint64_t>(token));
         if (wasOpen)
             owner.m_deliver(caller_gone{token});
         return EVHTP_RES_OK;
@@ -128,7 +128,7 @@
 caller_api::~caller_api()
 {
     *m_alive = false;
-    for (const auto &[token, open] : m_open)
+    for (const auto &[token, open] : m_exchanges)
         evhtp_request_unset_hook(open->request, evhtp_hook_on_request_fini);
     if (m_server->server)
         evhtp_unbind_socket(m_server);
@@ -149,8 +149,8 @@
 
 caller_api::exchange *caller_api::find(request_token request) const
 {
-    const auto found = m_open.find(static_cast<std::uint64_t>(request));
-    return found == m_open.end() ? nullptr : found->second.get();
+    const auto found = m_exchanges.find(static_cast<std::uint64_t>(request));
+    return found == m_exchanges.end() ? nullptr : found->second.get();
 }
 
 std::optional<instant> caller_api::arrivalOf(request_token request) const
@@ -177,7 +177,7 @@
     const auto number = m_nextToken++;
     auto owned = std::unique_ptr<exchange>(new exchange{*this, request, request_token{number}, event_loop::now()});
     auto &open = *owned;
-    m_open.emplace(number, std::move(owned));
+    m_exchanges.emplace(number, std::move(owned));
     evhtp_request_set_hook(request, evhtp_hook_on_error, asHook(caller_api_hooks::connectionError), &open);
     evhtp_request_set_hook(request, evhtp_hook_on_request_fini, asHook(caller_api_hooks::requestEnd), &open);
     evhtp_request_pause(request);
--- a/src/caller_api_p.h
+++ b/src/caller_api_p.h
@@ -33,7 +33,7 @@
     void drain();
 
     /// @returns whether all responses have been written to their sockets.
-    [[nodiscard]] bool isIdle() const { return m_open.empty(); }
+    [[nodiscard]] bool isIdle() const { return m_exchanges.empty(); }
 
     /// @returns the arrival time of an unfinished request, or nothing.
     [[nodiscard]] std::optional<instant> arrivalOf(request_token request) const;
@@ -58,7 +58,7 @@
     evhtp *m_server = nullptr;
     bool m_isDraining = false;
     std::uint64_t m_nextToken = 1;
-    std::map<std::uint64_t, std::unique_ptr<exchange>> m_open; ///< by request token, until evhtp frees the request
+    std::map<std::uint64_t, std::unique_ptr<exchange>> m_exchanges; ///< by request token, until evhtp frees the request
     std::shared_ptr<bool> m_alive =
         std::make_shared<bool>(true); ///< checked by posted messages, which may outlive this object
 };
--- a/src/evidence.cpp
+++ b/src/evidence.cpp
@@ -52,7 +52,7 @@
     return key;
 }
 
-/// @returns the failure rate that counts as bad against a good one.
+/// @returns the failure rate that must be detected for a baseline with the failure rate `good`.
 double badRate(double good)
 {
     const auto odds = kBadOddsRatio * good / (1 - good);
--- a/src/evidence_p.h
+++ b/src/evidence_p.h
@@ -41,8 +41,8 @@
     /// Replaces the counts of the other hosts with the totals of the relay.
     /// @param totals sums since the version's first response. A sum that decreases (the relay has restarted) becomes
     /// the new base for later increases.
-    /// @param ownContribution this host's deltas that are included in `totals`; empty if it contains only results of
-    /// other hosts.
+    /// @param ownContribution this host's deltas that are included in `totals`; empty if `totals` contains only
+    /// results of other hosts.
     void setTotals(const std::vector<version_evidence> &totals, instant now,
                    const std::vector<version_evidence> &ownContribution = {});
 
@@ -65,11 +65,12 @@
     /// @returns log likelihood ratio of the version being bad, as of the last isRejected().
     [[nodiscard]] double score(std::string_view version) const;
 
-    /// At a baseline failure rate of 0.05 this gives 2.0 to 2.7 false halts in 1000 roll-outs of 2000 responses (a
-    /// threshold of 12: 2.7 to 4.8), and on average 15 responses until a version that fails half of the time is
-    /// rejected.
+    /// Score at which a version is rejected. At a baseline failure rate of 0.05 this gives 2.0 to 2.7 false halts in
+    /// 1000 roll-outs of 2000 responses (a threshold of 12: 2.7 to 4.8), and on average 15 responses until a version
+    /// that fails half of the time is rejected.
     static constexpr double kRejectScore = 12.5;
-    /// Reached by two consecutive failures at a failure rate of 0.05, but not by a single one.
+    /// Score from which the exposure of a version is limited. Reached by two consecutive failures at a failure rate of
+    /// 0.05, but not by a single one.
     static constexpr double kSuspectScore = kRejectScore / 4;
     static constexpr double kRateWindow = 500; ///< responses
 
