--- a/src/attempt_rules_p.h
+++ b/src/attempt_rules_p.h
@@ -56,7 +56,7 @@
     static constexpr std::array kNames{"pass_on", "try_again", "refuse", "fail", "cut_off"};
 };
 
-/// No retry is sent with less time left than this: about the fastest plain response plus one round trip.
+/// No retry is sent with less time left than this: about the fastest non-streamed response plus one round trip.
 inline constexpr std::chrono::milliseconds kMinRetryTime{20};
 
 [[nodiscard]] next_step nextStepAfter(const attempt_outcome &outcome);
--- a/src/caller_connection.cpp
+++ b/src/caller_connection.cpp
@@ -52,7 +52,7 @@
 caller_connection::caller_connection(event_loop &loop, int socket, connection_owner &owner)
     : m_loop(loop)
     , m_owner(owner)
-    , m_idleSince(suspendAwareNow())
+    , m_timeoutStartedAt(suspendAwareNow())
     , m_timer(loop, [this] { onTimer(); })
 {
     m_socket = std::make_unique<stream_socket>(loop, socket,
@@ -101,7 +101,7 @@
         const bool isFirst = !m_parser.hasBegun();
         m_socket->consume(m_parser.feed(bytes, onBody, wasHead));
         if (isFirst) {
-            m_idleSince = suspendAwareNow();
+            m_timeoutStartedAt = suspendAwareNow();
             restartTimer();
         }
         if (m_parser.state() == parse_state::malformed)
@@ -212,7 +212,7 @@
     if (!m_keepAlive || m_owner.isDraining())
         return beginClose();
     m_phase = phase::reading;
-    m_idleSince = suspendAwareNow();
+    m_timeoutStartedAt = suspendAwareNow();
     restartTimer();
     // The next request may have arrived already; it is read in the next loop iteration, after the call from the
     // finished work has returned.
@@ -255,8 +255,8 @@
         return end();
     if (m_phase != phase::reading)
         return;
-    if (suspendAwareNow() - m_idleSince < readLimit())
-        return restartTimer(); // a newer configuration has raised the limit
+    if (suspendAwareNow() - m_timeoutStartedAt < readTimeout())
+        return restartTimer(); // a newer configuration has a longer timeout
     if (m_parser.hasBegun() && m_parser.state() == parse_state::head)
         return reject(http_status::kRequestTimeout, "head_timeout");
     if (m_parser.hasBegun())
@@ -265,7 +265,7 @@
 }
 
 /// @returns the timeout of the present reading state.
-std::chrono::milliseconds caller_connection::readLimit() const
+std::chrono::milliseconds caller_connection::readTimeout() const
 {
     const bool isInHead = m_parser.hasBegun() && m_parser.state() == parse_state::head;
     return isInHead ? m_owner.limits().headTimeout : m_owner.limits().idleTimeout;
@@ -273,7 +273,7 @@
 
 void caller_connection::restartTimer()
 {
-    const auto left = std::chrono::microseconds(readLimit()) - (suspendAwareNow() - m_idleSince);
+    const auto left = std::chrono::microseconds(readTimeout()) - (suspendAwareNow() - m_timeoutStartedAt);
     m_timer.start(std::max(left, std::chrono::microseconds{1000}));
 }
 
--- a/src/caller_connection_p.h
+++ b/src/caller_connection_p.h
@@ -1,5 +1,5 @@
-// A caller's connection: reads requests sequentially, passes each to its owner, and writes the response complete, as a
-// stream, or aborted in a way that the caller can detect.
+// A caller's connection: reads requests sequentially, passes each to its owner, and writes the response, either
+// complete or as a stream. The caller can detect that a response was aborted.
 #pragma once
 
 #include "gateway_clock_p.h"
@@ -61,13 +61,13 @@
     [[nodiscard]] virtual const caller_limits &limits() const = 0;
     [[nodiscard]] virtual bool isDraining() const = 0;
 
-    /// Starts work on a request. `response` may be used until the work is destroyed, and already before this returns.
+    /// Starts work on a request. `response` is valid until the work is destroyed; it may be used before this returns.
     [[nodiscard]] virtual std::unique_ptr<request_work> serve(inbound_request request, caller_response &response) = 0;
 
     /// Counts a request that was rejected while it was being read.
     virtual void recordRejected(int status, std::string_view reason) = 0;
 
-    /// The connection has ended and is to be destroyed, outside of this call.
+    /// The connection has ended. The owner must destroy it, but only after this call has returned.
     virtual void onConnectionEnd(caller_connection &connection) = 0;
 };
 
@@ -103,7 +103,7 @@
     void reject(int status, std::string_view reason);
     void writeHead(int status, const http_headers &headers, std::string_view framing);
     void finishResponse();
-    [[nodiscard]] std::chrono::milliseconds readLimit() const;
+    [[nodiscard]] std::chrono::milliseconds readTimeout() const;
     void restartTimer();
     void beginClose();
     void end();
@@ -116,9 +116,9 @@
     phase m_phase = phase::reading;
     bool m_keepAlive = true; ///< of the request being served
     bool m_isHeadRequest = false;
-    instant m_idleSince{};
+    instant m_timeoutStartedAt{}; ///< when the connection became idle, or the present request's first byte arrived
     std::unique_ptr<request_work> m_work;
-    std::unique_ptr<request_work> m_finishedWork; ///< kept until the call that it made has returned
+    std::unique_ptr<request_work> m_finishedWork; ///< kept until its call that finished the response has returned
     loop_timer m_timer;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< checked by callbacks that may outlive this object
 
--- a/src/decision_log_p.h
+++ b/src/decision_log_p.h
@@ -31,6 +31,7 @@
     void write(std::string_view event, const nlohmann::ordered_json &fields,
                log_subject subject = log_subject::process);
 
+    /// @returns the number of lines that the rate limit has dropped since the start.
     [[nodiscard]] std::uint64_t dropped() const { return m_droppedTotal; }
 
 private:
--- a/src/event_splitter_p.h
+++ b/src/event_splitter_p.h
@@ -14,7 +14,7 @@
 class event_splitter
 {
 public:
-    /// @param id id of the event, if it has one.
+    /// @param id id of the event, if it has a numeric one.
     using event_sink = std::function<void(std::string_view event, std::optional<std::uint64_t> id)>;
 
     /// Consumes bytes of the stream and calls the sink with each complete event, including its blank line.
--- a/src/fleet_feed_p.h
+++ b/src/fleet_feed_p.h
@@ -53,7 +53,8 @@
 
     virtual void start(fleet_listener &listener) = 0;
 
-    /// Records the state of a roll-out unless its object has changed since. The result arrives through onRollouts().
+    /// Records the state of a roll-out unless its object has changed since `order.revision`. The result arrives through
+    /// onRollouts().
     virtual void writeRollout(const rollout_order &order) = 0;
 };
 
--- a/src/forwarding_p.h
+++ b/src/forwarding_p.h
@@ -14,7 +14,7 @@
 struct request_metadata {
     std::string id; ///< empty: missing
     std::string key; ///< API key; empty: none
-    std::string host;
+    std::string host; ///< value of the Host header
     std::string model; ///< empty: not specified
     std::optional<std::chrono::milliseconds> timeout; ///< time for which the caller waits
     std::optional<std::uint64_t> lastEventId; ///< last event of an interrupted stream that the caller received
--- a/src/gateway_exchange.cpp
+++ b/src/gateway_exchange.cpp
@@ -26,13 +26,13 @@
     return configConfirmedAt && std::chrono::duration<double>(now - *configConfirmedAt) < lease;
 }
 
-gateway_exchange::gateway_exchange(gateway_state &state, inbound_request request, caller_response &reply)
+gateway_exchange::gateway_exchange(gateway_state &state, inbound_request request, caller_response &response)
     : m_state(state)
     , m_request(std::move(request))
-    , m_callerResponse(reply)
-    , m_facts(parseRequestHeaders(m_request.head, state.headerNames))
+    , m_callerResponse(response)
+    , m_metadata(parseRequestHeaders(m_request.head, state.headerNames))
     , m_config(state.config)
-    , m_lastEventId(m_facts.lastEventId)
+    , m_lastEventId(m_metadata.lastEventId)
     , m_timer(state.loop, [this] { onDeadline(); })
 {
 }
@@ -47,7 +47,7 @@
 {
     if (const auto reason = validate())
         return refuse(*reason);
-    const auto wait = std::min(m_route->timeout, m_facts.timeout.value_or(m_route->timeout));
+    const auto wait = std::min(m_route->timeout, m_metadata.timeout.value_or(m_route->timeout));
     m_deadline = m_request.readAt + wait;
     m_timer.start(remainingTime());
     chooseService();
@@ -66,9 +66,9 @@
 {
     if (!m_config || !m_state.hasReplicas)
         return refusal::no_config;
-    if (m_facts.id.empty())
+    if (m_metadata.id.empty())
         return refusal::missing_id;
-    m_route = m_config->findRoute(m_facts.host, m_request.head.target);
+    m_route = m_config->findRoute(m_metadata.host, m_request.head.target);
     const bool isStale = !m_state.hasKeyLease(suspendAwareNow());
     // A stale configuration can't prove that a route or key doesn't exist.
     if (isStale && (!m_route || !m_route->isPublic))
@@ -77,7 +77,7 @@
         return refusal::unknown_route;
     if (!m_config->needsKeys || m_route->isPublic)
         return std::nullopt;
-    m_account = m_config->findAccount(m_facts.key);
+    m_account = m_config->findAccount(m_metadata.key);
     return m_account ? std::nullopt : std::optional(refusal::unknown_key);
 }
 
@@ -118,13 +118,13 @@
     const auto msOf = [relativeCost](std::uint64_t tokens) {
         return relativeCost * static_cast<double>(tokens) / kPromptTokensPerMs;
     };
-    return {msOf(m_facts.sharedTokens), msOf(m_facts.promptTokens - m_facts.sharedTokens)};
+    return {msOf(m_metadata.sharedTokens), msOf(m_metadata.promptTokens - m_metadata.sharedTokens)};
 }
 
 /// @returns a key for the shared prompt parts and the current model, because engines cache prompts per model.
 std::uint64_t gateway_exchange::promptKey() const
 {
-    return m_facts.sharedPrefixHash == 0 ? 0 : m_facts.sharedPrefixHash + m_model;
+    return m_metadata.sharedPrefixHash == 0 ? 0 : m_metadata.sharedPrefixHash + m_model;
 }
 
 const replica_entry *gateway_exchange::pickForVersion(const version_choice &choice, instant now)
@@ -142,7 +142,7 @@
 const replica_entry *gateway_exchange::pickReplica()
 {
     const auto now = suspendAwareNow();
-    const auto choice = m_state.rollouts.choose(m_service, m_facts.session);
+    const auto choice = m_state.rollouts.choose(m_service, m_metadata.session);
     if (const auto *preferred = pickForVersion(choice, now))
         return preferred;
     // The new version may have no running replica yet, or its only replica has been tried.
@@ -188,7 +188,7 @@
     if (m_hasStreamStarted)
         fields.lastEventId = m_lastEventId;
     return {replica.address, replica.id, forwardedHead(m_request, fields, m_state.headerNames) + m_request.body,
-            m_facts.id};
+            m_metadata.id};
 }
 
 void gateway_exchange::send(const replica_entry &replica)
@@ -214,10 +214,10 @@
 {
     if (m_isFinished)
         return;
-    const bool wasSilent = m_upstream && !m_firstByteAt;
+    const bool hasNoResponse = m_upstream && !m_firstByteAt;
     m_mayHaveRun = m_mayHaveRun || m_upstream != nullptr;
     if (m_upstream)
-        closeAttempt(wasSilent ? std::optional(false) : std::nullopt);
+        closeAttempt(hasNoResponse ? std::optional(false) : std::nullopt);
     if (m_hasStreamStarted)
         return abortResponse("deadline");
     refuse(m_mayHaveRun ? refusal::deadline : refusal::not_run);
@@ -246,15 +246,15 @@
     const std::string_view route = m_route ? std::string_view(m_route->name) : std::string_view("none");
     m_state.metrics.recordRequest(route, status, reason, duration);
     nlohmann::ordered_json fields{
-        {"request_id", m_facts.id},
+        {"request_id", m_metadata.id},
         {"route", route},
         {"status", status},
         {"reason", reason},
         {"ms", duration.count() / 1000},
         {"first_ms", m_firstEventAt ? (*m_firstEventAt - m_request.readAt).count() / 1000 : -1},
         {"sends", m_sends}};
-    if (m_facts.session != 0)
-        fields["session"] = m_facts.session;
+    if (m_metadata.session != 0)
+        fields["session"] = m_metadata.session;
     if (m_account)
         fields["account"] = m_account->name;
     if (!m_replica.empty()) {
--- a/src/gateway_exchange_p.h
+++ b/src/gateway_exchange_p.h
@@ -43,7 +43,7 @@
 class gateway_exchange : public request_work, private upstream_listener
 {
 public:
-    gateway_exchange(gateway_state &state, inbound_request request, caller_response &reply);
+    gateway_exchange(gateway_state &state, inbound_request request, caller_response &response);
     ~gateway_exchange() override;
 
     /// Starts processing; the request may already be finished when this returns.
@@ -87,9 +87,10 @@
     [[nodiscard]] attempt_result classify(upstream_end end) const;
     void recordAttempt(attempt_result result);
     void recordVersionResponse(attempt_result result);
+    /// @param isGood whether the replica responded as it should; unset if the end says nothing about the replica.
     void closeAttempt(std::optional<bool> isGood);
     void handleAttemptResult(attempt_result result);
-    void retryOrFinish(attempt_result result, attempt_outcome facts);
+    void retryOrFinish(attempt_result result, attempt_outcome outcome);
     void forwardResponse();
     void refuse(refusal reason);
     void abortResponse(std::string_view reason);
@@ -105,7 +106,7 @@
     gateway_state &m_state;
     inbound_request m_request;
     caller_response &m_callerResponse;
-    request_metadata m_facts;
+    request_metadata m_metadata;
     gateway_config_ptr m_config; ///< active when the request arrived
     const gateway_route *m_route = nullptr; ///< in m_config
     const client_account *m_account = nullptr; ///< in m_config
@@ -127,7 +128,7 @@
     event_splitter m_events;
 
     std::set<std::string> m_triedReplicas;
-    std::uint32_t m_sends = 0;
+    std::uint32_t m_sends = 0; ///< number of replicas to which the request was sent
     std::uint32_t m_connectFailures = 0;
     bool m_mayHaveRun = false; ///< a replica may have run the request
     bool m_hasStreamStarted = false; ///< the caller has been sent part of a stream
@@ -135,7 +136,7 @@
     bool m_isFinished = false;
     loop_timer m_timer;
 
-    /// Failed connection attempts that don't count as sends, because the request reached no replica.
+    /// Number of failed connection attempts that don't count as sends, because the request reached no replica.
     static constexpr std::uint32_t kMaxConnectFailures = 4;
     /// Stream bytes buffered for a slow caller before reading from the replica is paused.
     static constexpr std::size_t kMaxCallerBacklogBytes = 128U << 10U;
--- a/src/gateway_exchange_responses.cpp
+++ b/src/gateway_exchange_responses.cpp
@@ -146,9 +146,9 @@
     // The caller has received the beginning of a stream; only events of that stream can follow.
     if (m_hasStreamStarted && !m_isStream)
         return attempt_result::unusable;
-    const bool isComplete = m_body.size() <= kMaxBodyBytes && m_response.header("Content-Encoding").empty();
+    const bool isBodyUsable = m_body.size() <= kMaxBodyBytes && m_response.header("Content-Encoding").empty();
     const bool isStamped = !m_response.header(m_state.headerNames.stamp).empty();
-    if (!isComplete || (isSuccess(m_response.status) && !isStamped) || impliesNotRun(m_response.status))
+    if (!isBodyUsable || (isSuccess(m_response.status) && !isStamped) || impliesNotRun(m_response.status))
         return attempt_result::unusable;
     return attempt_result::answered;
 }
@@ -172,7 +172,7 @@
     if (result == attempt_result::answered)
         return;
     m_state.log.write("attempt_failed",
-                      {{"request_id", m_facts.id},
+                      {{"request_id", m_metadata.id},
                        {"upstream", m_replica},
                        {"version", m_replicaVersion},
                        {"result", nameOf(result)},
@@ -211,27 +211,27 @@
 
 void gateway_exchange::handleAttemptResult(attempt_result result)
 {
-    attempt_outcome facts;
-    facts.result = result;
-    facts.mayRetry = m_route->mayRetry();
-    facts.mayHaveRun = m_mayHaveRun;
-    facts.hasCallerBytes = m_hasStreamStarted;
-    facts.maxSends = m_route->maxAttempts;
-    facts.left = remainingTime();
+    attempt_outcome outcome;
+    outcome.result = result;
+    outcome.mayRetry = m_route->mayRetry();
+    outcome.mayHaveRun = m_mayHaveRun;
+    outcome.hasCallerBytes = m_hasStreamStarted;
+    outcome.maxSends = m_route->maxAttempts;
+    outcome.left = remainingTime();
     if (result == attempt_result::not_connected && ++m_connectFailures <= kMaxConnectFailures)
         --m_sends; // no replica has received the request
-    facts.sends = m_sends;
-    retryOrFinish(result, facts);
+    outcome.sends = m_sends;
+    retryOrFinish(result, outcome);
 }
 
-void gateway_exchange::retryOrFinish(attempt_result result, attempt_outcome facts)
+void gateway_exchange::retryOrFinish(attempt_result result, attempt_outcome outcome)
 {
-    auto step = nextStepAfter(facts);
+    auto step = nextStepAfter(outcome);
     const bool hasReachedReplica = result != attempt_result::not_connected;
     if (step == next_step::retry && hasReachedReplica
         && !m_state.budget.tryConsumeRetry(m_service, retry_reason::failure, suspendAwareNow())) {
-        facts.sends = facts.maxSends;
-        step = nextStepAfter(facts);
+        outcome.sends = outcome.maxSends;
+        step = nextStepAfter(outcome);
     }
     switch (step) {
     case next_step::pass_on:
@@ -266,8 +266,8 @@
     const auto &row = rowOf(reason);
     finish(row.status, row.reason);
     http_headers headers;
-    if (!m_facts.id.empty())
-        headers.emplace_back(m_state.headerNames.requestId, m_facts.id);
+    if (!m_metadata.id.empty())
+        headers.emplace_back(m_state.headerNames.requestId, m_metadata.id);
     if (row.hasRetryAfter)
         headers.emplace_back("Retry-After", retryAfter());
     m_callerResponse.sendResponse(row.status, headers, {});
--- a/src/gateway_model_p.h
+++ b/src/gateway_model_p.h
@@ -73,7 +73,8 @@
 struct caller_limits {
     std::size_t headBytes = 16U << 10U;
     std::size_t bodyBytes = 4U << 20U;
-    std::chrono::milliseconds headTimeout{3000};
+    std::chrono::milliseconds headTimeout{3000}; ///< from a request's first byte to the end of its head
+    /// Between requests; also from a request's first byte to the end of its body.
     std::chrono::milliseconds idleTimeout{15000};
 };
 
--- a/src/gateway_settings_p.h
+++ b/src/gateway_settings_p.h
@@ -22,14 +22,14 @@
     std::uint32_t logLinesPerSecond = 400;
     std::chrono::milliseconds grace{8000}; ///< from SIGTERM to SIGKILL
     std::chrono::milliseconds keyLease{5000}; ///< maximum age of the configuration for accepting keys
-    std::chrono::milliseconds configWatch{2000};
-    std::chrono::milliseconds replicaWatch{10000};
-    std::chrono::milliseconds lapseGrace{1800};
-    double retryRatio = 0.9;
+    std::chrono::milliseconds configWatch{2000}; ///< maximum wait of one watch of the configuration
+    std::chrono::milliseconds replicaWatch{10000}; ///< the same for replicas and roll-outs
+    std::chrono::milliseconds lapseGrace{1800}; ///< time for which missing replicas are retained after a store outage
+    double retryRatio = 0.9; ///< retries per request in the window, over all hosts
     std::chrono::milliseconds retryWindow{10'000};
-    double retrySlack = 0;
-    std::uint32_t confidenceToKeep = 60;
-    bool startsSmall = true;
+    double retrySlack = 0; ///< retries in the window in addition to the ratio, over all hosts
+    std::uint32_t confidenceToKeep = 60; ///< percent; below it the smallest model's response is escalated
+    bool startsSmall = true; ///< whether requests start with the smallest model of their route
 };
 
 /// Parses and validates the section `[gateway]`. Unknown keys are ignored, so that older programs start with newer
--- a/src/gateway_task.cpp
+++ b/src/gateway_task.cpp
@@ -124,9 +124,9 @@
     return m_state.config ? m_state.config->limits : s_default;
 }
 
-std::unique_ptr<request_work> gateway_task::serve(inbound_request request, caller_response &reply)
+std::unique_ptr<request_work> gateway_task::serve(inbound_request request, caller_response &response)
 {
-    auto work = std::make_unique<gateway_exchange>(m_state, std::move(request), reply);
+    auto work = std::make_unique<gateway_exchange>(m_state, std::move(request), response);
     work->begin();
     return work;
 }
@@ -243,7 +243,7 @@
     if (now >= m_nextRolloutCheck)
         advanceRollouts();
     if (m_isDraining)
-        finishStop();
+        advanceStop();
     m_tick.start(kTickInterval);
 }
 
@@ -290,15 +290,18 @@
     return std::ranges::any_of(m_connections, [](const auto &entry) { return !entry.first->isIdle(); });
 }
 
-void gateway_task::finishStop()
+/// Continues a graceful stop: closes the listener after kListenAfterStop, and ends the loop when no request is in
+/// flight or the grace period is nearly over.
+void gateway_task::advanceStop()
 {
     const auto elapsed = suspendAwareNow() - m_stopStartedAt;
     if (elapsed < kListenAfterStop)
         return;
     closeListener();
-    std::vector<caller_connection *> open;
-    std::ranges::transform(m_connections, std::back_inserter(open), [](const auto &entry) { return entry.first; });
-    for (auto *connection : open)
+    std::vector<caller_connection *> connections;
+    std::ranges::transform(m_connections, std::back_inserter(connections),
+                           [](const auto &entry) { return entry.first; });
+    for (auto *connection : connections)
         connection->closeIfIdle();
     if (hasActiveRequests() && elapsed < m_settings.grace - kStopMargin)
         return;
--- a/src/gateway_task_p.h
+++ b/src/gateway_task_p.h
@@ -38,7 +38,7 @@
 private:
     [[nodiscard]] const caller_limits &limits() const override;
     [[nodiscard]] bool isDraining() const override { return m_isDraining; }
-    [[nodiscard]] std::unique_ptr<request_work> serve(inbound_request request, caller_response &reply) override;
+    [[nodiscard]] std::unique_ptr<request_work> serve(inbound_request request, caller_response &response) override;
     void recordRejected(int status, std::string_view reason) override;
     void onConnectionEnd(caller_connection &connection) override;
 
@@ -66,7 +66,7 @@
     void tick();
     void advanceRollouts();
     void closeListener();
-    void finishStop();
+    void advanceStop();
     [[nodiscard]] bool hasActiveRequests() const;
 
     /// Time after SIGTERM during which new connections are accepted: two failed readiness checks at one per second,
--- a/src/header_names_p.h
+++ b/src/header_names_p.h
@@ -16,7 +16,7 @@
     std::string lengthHint; ///< the caller's estimate of the number of output tokens
     std::string promptParts; ///< "ID:TOKENS,...": prompt parts in order
     std::string session; ///< session name
-    std::string lastEventId; ///< last event of a stream that the receiver has received
+    std::string lastEventId; ///< id of the last event of an interrupted stream that the caller received
     std::string account; ///< name of the client account; set by the gateway
     std::string expectReplica; ///< id of the intended replica; set by the gateway
     std::string priority; ///< scheduling priority in an engine, 0 is highest; set by the gateway
--- a/src/load_aggregator.cpp
+++ b/src/load_aggregator.cpp
@@ -30,10 +30,10 @@
 {
     for (auto &total : totals) {
         const auto known = std::ranges::find(own, total.replica, &replica_load::replica);
-        const auto mine = known == own.end() ? replica_load{} : *known;
+        const auto ownLoad = known == own.end() ? replica_load{} : *known;
         const auto factor = static_cast<double>(relays);
-        total.running = std::max(0.0, total.running * factor - mine.running);
-        total.backlogMs = std::max(0.0, total.backlogMs * factor - mine.backlogMs);
+        total.running = std::max(0.0, total.running * factor - ownLoad.running);
+        total.backlogMs = std::max(0.0, total.backlogMs * factor - ownLoad.backlogMs);
     }
     return totals;
 }
--- a/src/load_aggregator_p.h
+++ b/src/load_aggregator_p.h
@@ -17,8 +17,8 @@
     [[nodiscard]] std::vector<replica_load> totals(instant now);
 
     /// Time after which a host's report expires. A host that follows a relay sends its report with each call and calls
-    /// again at least every 0.5 s, so this outlasts one lost call. A host that has been silent for longer is down or
-    /// has left the relay, and its load must not be counted any more.
+    /// again at least every 0.5 s, so this outlasts one lost call. A host that has sent no report for longer is
+    /// down or has left the relay, and its load must not be counted any more.
     static constexpr std::chrono::milliseconds kReportLifetime{1500};
 
 private:
