--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -127,11 +127,11 @@
     idle.push_back({connection, event_loop::now()});
 }
 
-void http_client::discard(evhttp_connection *connection, std::unique_ptr<call> owner)
+void http_client::discard(evhttp_connection *connection, std::unique_ptr<call> endedCall)
 {
-    if (owner)
-        owner->isEnded = true;
-    m_discarded.emplace_back(connection, std::move(owner));
+    if (endedCall)
+        endedCall->isEnded = true;
+    m_discarded.emplace_back(connection, std::move(endedCall));
     m_cleanupTimer.start(std::chrono::microseconds{0});
 }
 
@@ -139,13 +139,14 @@
 {
     decltype(m_discarded) connections;
     connections.swap(m_discarded);
-    for (const auto &[connection, owner] : connections)
+    for (const auto &[connection, endedCall] : connections)
         evhttp_connection_free(connection);
 }
 
+/// Closes expired idle connections. acquireConnection() does so only for endpoints in use; the idle connections of a
+/// replaced host, whose endpoint is never used again, would accumulate.
 void http_client::pruneIdle()
 {
-    // The endpoint of a replaced host is never used again; without this its idle connections would accumulate.
     m_pruneTimer.start(m_idleLimit);
     const auto oldest = event_loop::now() - m_idleLimit;
     for (auto &[endpoint, connections] : m_idle)
@@ -202,8 +203,9 @@
     const auto method = kMethods[static_cast<std::size_t>(open.request.method)];
     const auto id = open.id;
     const auto path = open.request.path;
-    const bool isMade = evhttp_make_request(open.connection, request, method, path.c_str()) == 0;
-    return isMade || !m_calls.contains(id);
+    const bool isStarted = evhttp_make_request(open.connection, request, method, path.c_str()) == 0;
+    // If evhttp has called onDone already, the call has ended and must not be reported again.
+    return isStarted || !m_calls.contains(id);
 }
 
 void http_client::onBodyPart(call &open, evhttp_request *evhttpResponse)
--- a/src/http_client_p.h
+++ b/src/http_client_p.h
@@ -93,7 +93,7 @@
 
     evhttp_connection *acquireConnection(const http_endpoint &endpoint);
     void releaseConnection(const http_endpoint &endpoint, evhttp_connection *connection);
-    void discard(evhttp_connection *connection, std::unique_ptr<call> owner);
+    void discard(evhttp_connection *connection, std::unique_ptr<call> endedCall);
     void freeDiscarded();
     void pruneIdle();
     bool send(call &open);
--- a/src/http_parser_p.h
+++ b/src/http_parser_p.h
@@ -61,6 +61,8 @@
     [[nodiscard]] parse_state state() const { return m_state; }
     [[nodiscard]] const message_head &head() const { return m_head; }
     [[nodiscard]] bool hasBegun() const { return !m_headBytes.empty() || m_state != parse_state::head; }
+
+    /// @returns whether the body is delimited by the end of the connection.
     [[nodiscard]] bool endsWithConnection() const { return m_untilClose; }
 
 private:
--- a/src/http_server_p.h
+++ b/src/http_server_p.h
@@ -1,5 +1,5 @@
-// Small HTTP server of a task over evhttp, for administration addresses and the stand-ins. Callers' requests arrive at
-// caller_api instead.
+// Small HTTP server of a task over evhttp, for administration addresses and the stand-ins. Callers' requests are
+// served by caller_api and caller_connection instead.
 #pragma once
 
 #include "http_client_p.h"
@@ -38,7 +38,7 @@
     /// @returns whether a response can still be sent.
     [[nodiscard]] bool isOpen() const { return m_request != nullptr; }
 
-    /// Detects that the client closes the connection while the response is being prepared.
+    /// Enables the detection of a close by the client while the response is being prepared; see onClosed.
     void watchClose();
 
 private:
