--- a/src/ledger.cpp
+++ b/src/ledger.cpp
@@ -41,7 +41,7 @@
         std::string encoded;
         append_done done; ///< empty once completed
         instant since{};
-        bool logRefreshed = false; ///< the log was read to its end since this claim found an open one
+        bool logRefreshed = false; ///< the log has been read to its end since the index showed an open claim of its key
         bool maybeWritten = false; ///< an earlier batch with it may be in the log; cleared when the log is verified
     };
 
@@ -77,7 +77,7 @@
     instant m_retryAt{};
     std::int64_t m_unixSeconds = 0;
 
-    snapshot_head m_head; ///< the snapshot that the index was built from, or a later one within the index
+    snapshot_head m_head; ///< the snapshot that the index was built from, or a later one that the index covers
     object_version m_headVersion = 0;
     std::size_t m_nextPart = 0; ///< while loading
     log_index m_nextIndex = 0; ///< the log is known up to here
@@ -93,11 +93,13 @@
     object_version m_batchVersion = 0;
     bool m_batchMaybeWritten = false; ///< m_batch may be in the log
     int m_lostRaces = 0; ///< consecutive
-    instant m_paceUntil{}; ///< end of the time that the batches so far take up at one per writePeriod
+    instant m_nextPacedWrite{}; ///< due time of the next batch at one per writePeriod; a burst runs ahead of it
 
     std::vector<std::pair<append_done, append_outcome>>
         m_outcomes; ///< delivered when the current call from outside ends
 
+    /// @returns a store callback that passes the result to `next`, starts the next calls and delivers outcomes. It does
+    /// nothing once the segment is destroyed.
     template <typename value_type>
     auto then(void (implementation::*next)(value_type))
     {
@@ -330,7 +332,7 @@
         fillBatch();
         if (m_batch.empty())
             return false;
-        m_paceUntil = std::max(m_paceUntil, m_now) + m_timing.writePeriod;
+        m_nextPacedWrite = std::max(m_nextPacedWrite, m_now) + m_timing.writePeriod;
         m_batchId = m_writer + "-" + std::to_string(++m_batchCounter);
         std::vector<std::string> encoded(m_batch.size());
         std::ranges::transform(m_batch, encoded.begin(), &waiting_record::encoded);
@@ -344,7 +346,7 @@
     [[nodiscard]] instant nextBatchTime() const
     {
         return std::max(m_queue.front().since + m_timing.linger,
-                        m_paceUntil - m_timing.writePeriod * m_timing.writeBurst);
+                        m_nextPacedWrite - m_timing.writePeriod * m_timing.writeBurst);
     }
 
     /// An open claim in the index may have been billed by another host in the meantime.
@@ -463,8 +465,9 @@
     void completeBatch()
     {
         for (auto &waiting : m_batch) {
-            const bool counts = applyRecord(waiting.record, &waiting.encoded);
-            respond(waiting, counts ? append_outcome{ledger_status::written, {}, {}} : *m_index.find(waiting.record));
+            const bool isEffective = applyRecord(waiting.record, &waiting.encoded);
+            respond(waiting,
+                    isEffective ? append_outcome{ledger_status::written, {}, {}} : *m_index.find(waiting.record));
         }
         m_batch.clear();
         m_batchVersions[m_nextIndex] = m_batchVersion;
--- a/src/ledger_compaction.cpp
+++ b/src/ledger_compaction.cpp
@@ -53,7 +53,18 @@
 } // namespace
 
 struct ledger_compaction::implementation : std::enable_shared_from_this<implementation> {
-    enum class step : std::uint8_t { idle, part, part_version, head, head_check, floor, remove, list, orphan };
+    /// Purpose of the next store call.
+    enum class step : std::uint8_t {
+        idle, ///< no snapshot in progress
+        part, ///< write the next part
+        part_version, ///< read a part whose write conflicted, for its version
+        head, ///< replace the head
+        head_check, ///< read the head after a conflict to find out whose it is
+        floor, ///< read and raise the floor
+        remove, ///< delete the objects in m_removals
+        list, ///< list batch objects to find orphans
+        orphan ///< read and delete an orphan
+    };
 
     implementation(object_store &store, std::uint32_t segment, std::string writer)
         : m_store(store)
@@ -84,7 +95,8 @@
     bool m_lostRace = false; ///< another writer's head replaced the base first
     snapshot_done m_done;
 
-    /// Wraps a store callback: ignores it after destruction, otherwise continues with the next step after it.
+    /// @returns a store callback that passes the result to `next` and starts the next call. It does nothing after
+    /// destruction.
     template <typename value_type>
     auto then(void (implementation::*next)(value_type))
     {
--- a/src/ledger_index.cpp
+++ b/src/ledger_index.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::int64_t kSecondsPerMinute = 60;
 
-/// Tolerated difference between wall clocks, because of which hosts remove an entry at different times.
+/// Entries are kept this much longer than the retention period: wall clocks may differ by this much, so hosts remove an
+/// entry at different times.
 constexpr std::int64_t kClockSlackSeconds = 60;
 
 /// @returns the creation time in a request id `<unix seconds>-<token>`; 0 if it has none.
@@ -87,19 +88,19 @@
     const auto [position, isNew] = m_entries.try_emplace(keyOf(record));
     auto &target = position->second;
     const auto hash = writerHash(record.writer);
-    bool counts = false;
+    bool isEffective = false;
     if (record.type == record_type::pin) {
-        counts = applyPin(record, target);
+        isEffective = applyPin(record, target);
     } else if (record.type == record_type::claim && target.claimWriter == 0 && target.billWriter == 0) {
         target.claimWriter = hash;
-        counts = true;
+        isEffective = true;
     } else if (record.type == record_type::bill && target.billWriter == 0) {
         target.billWriter = hash;
         if (!record.response.empty())
             target.stored = std::make_unique<content>(content{record.response, {}});
-        counts = true;
+        isEffective = true;
     }
-    if (!counts)
+    if (!isEffective)
         return false;
     target.expires = std::max(target.expires, expiryOf(record));
     if (isNew)
--- a/src/ledger_p.h
+++ b/src/ledger_p.h
@@ -65,7 +65,7 @@
     /// consecutive calls, and a slow store needs half a second for each.
     std::chrono::microseconds appendTimeout{3000000};
     std::chrono::microseconds retry{50000}; ///< delay after a failed store call
-    std::uint64_t snapshotBatches = 256;
+    std::uint64_t snapshotBatches = 256; ///< number of batches after a snapshot at which the next one starts
     /// Rate limit of batches once a burst of `writeBurst` batches is used up. With 16 segments it gives 200 writes and
     /// 200 deletions per second, which leaves the store spare capacity; at 800 requests per second, group commit by
     /// `linger` alone gave 1,368 and 1,229.
--- a/src/ledger_routing.cpp
+++ b/src/ledger_routing.cpp
@@ -15,7 +15,7 @@
     return XXH64(host.data(), host.size(), key);
 }
 
-bool isRefusal(ledger_status status)
+bool isFailure(ledger_status status)
 {
     return status == ledger_status::unavailable || status == ledger_status::unknown;
 }
@@ -196,7 +196,7 @@
         const bool notDelivered = outcomes.has_error() && outcomes.error().code == error_code::unavailable;
         for (std::size_t i = 0; i < records.size(); ++i) {
             auto &routed = records[i];
-            if (isComplete && !isRefusal(outcomes.value()[i].status)) {
+            if (isComplete && !isFailure(outcomes.value()[i].status)) {
                 routed.done(outcomes.value()[i]);
                 continue;
             }
@@ -220,7 +220,7 @@
                 return;
             if (shared->maybeWritten && outcome.status == ledger_status::unavailable)
                 outcome.status = ledger_status::unknown;
-            if (shared->record.type == record_type::pin && isRefusal(outcome.status))
+            if (shared->record.type == record_type::pin && isFailure(outcome.status))
                 outcome = self->pinInMemory(number, shared->record, outcome);
             shared->done(outcome);
         });
@@ -241,11 +241,11 @@
     /// All hosts with the same generation propose the same versions, so hosts that cannot reach each other agree. The
     /// pin is refused if the log is not loaded, since an older pin could be missed. The result is exists_pinned: the
     /// pin is in effect, but not durable.
-    append_outcome pinInMemory(std::uint32_t number, const ledger_record &record, const append_outcome &refusal)
+    append_outcome pinInMemory(std::uint32_t number, const ledger_record &record, const append_outcome &failure)
     {
         const bool isSafe = segment(number).isLoaded() && m_hosts.ownerOf(number) == m_host;
         if (!isSafe)
-            return refusal;
+            return failure;
         m_pins.try_emplace({record.account, record.id}, record);
         return {ledger_status::exists_pinned, {}, record.pins};
     }
@@ -264,7 +264,7 @@
     {
         const auto number = segmentFor(record);
         segment(number).append(record, [self = shared_from_this(), key](const append_outcome &outcome) {
-            if (!self->m_closed && !isRefusal(outcome.status))
+            if (!self->m_closed && !isFailure(outcome.status))
                 self->m_pins.erase(key);
         });
     }
--- a/src/ledger_routing_p.h
+++ b/src/ledger_routing_p.h
@@ -17,6 +17,8 @@
 
     void configure(const std::vector<host_config> &hosts);
     void setGone(std::set<std::string> hosts);
+
+    /// Excludes a host until this time, because a call to it failed.
     void suspect(const std::string &host, instant until);
 
     /// Removes expired suspicions.
@@ -29,6 +31,7 @@
     /// writer; empty if no untried host is left.
     [[nodiscard]] std::string selectCopyHolder(std::string_view writer, const std::set<std::string> &tried) const;
 
+    /// @returns whether the host is gone or not registered.
     [[nodiscard]] bool isGone(const std::string &host) const;
 
 private:
@@ -66,6 +69,7 @@
     [[nodiscard]] ledger_hosts &hosts();
     [[nodiscard]] std::size_t entries() const;
     [[nodiscard]] std::size_t memoryPins() const;
+    /// @returns the number of segments; 0 before configure().
     [[nodiscard]] std::uint32_t segments() const;
 
 private:
--- a/src/ledger_service.cpp
+++ b/src/ledger_service.cpp
@@ -32,7 +32,7 @@
         bool writing = false;
         bool copying = false;
         std::string holder; ///< host that has a copy; empty if none
-        std::set<std::string> tried;
+        std::set<std::string> tried; ///< hosts to which a copy was sent
     };
     /// Copy of another host's bill.
     struct kept_copy {
