--- a/src/attempt_rules.cpp
+++ b/src/attempt_rules.cpp
@@ -10,7 +10,7 @@
 bool canRetry(const attempt_outcome &outcome)
 {
     const bool isAllowed = outcome.mayRetry || !outcome.mayHaveRun;
-    return isAllowed && outcome.sends < outcome.maxSends && outcome.left >= kMinRetryTime;
+    return isAllowed && outcome.sends < outcome.maxSends && outcome.remaining >= kMinRetryTime;
 }
 
 } // namespace
@@ -21,7 +21,7 @@
         return next_step::pass_on;
     if (canRetry(outcome))
         return next_step::retry;
-    if (outcome.hasCallerBytes)
+    if (outcome.hasResponseStarted)
         return next_step::cut_off;
     if (outcome.result == attempt_result::server_error)
         return next_step::pass_on;
--- a/src/attempt_rules_p.h
+++ b/src/attempt_rules_p.h
@@ -36,10 +36,10 @@
     attempt_result result = attempt_result::broken;
     bool mayRetry = false; ///< requests of this kind may run more than once
     bool mayHaveRun = false; ///< this attempt or an earlier one may have run
-    bool hasCallerBytes = false; ///< part of the response was sent to the caller
+    bool hasResponseStarted = false; ///< part of the response was sent to the caller
     std::uint32_t sends = 0; ///< replicas to which the request was sent
     std::uint32_t maxSends = 1;
-    std::chrono::milliseconds left{}; ///< until the deadline
+    std::chrono::milliseconds remaining{}; ///< until the deadline
 };
 
 enum class next_step : std::uint8_t {
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -97,8 +97,8 @@
     return found == m_pools.end() ? nullptr : &found->second;
 }
 
-void balancer::report(std::string_view upstream, std::uint32_t running, std::uint32_t queued, std::uint32_t slots,
-                      instant measuredAt)
+void balancer::recordLoadReport(std::string_view upstream, std::uint32_t running, std::uint32_t queued,
+                                std::uint32_t slots, instant measuredAt)
 {
     const auto found = m_replicas.find(std::string(upstream));
     if (found == m_replicas.end() || measuredAt <= found->second.reportedAt)
--- a/src/balancer_p.h
+++ b/src/balancer_p.h
@@ -34,8 +34,8 @@
     /// Applies a load report; one that is not newer than the last is ignored.
     /// @param running requests that the replica runs, of all hosts; likewise `queued`.
     /// @param slots 0: unknown, the previous value is kept.
-    void report(std::string_view upstream, std::uint32_t running, std::uint32_t queued, std::uint32_t slots,
-                instant measuredAt);
+    void recordLoadReport(std::string_view upstream, std::uint32_t running, std::uint32_t queued, std::uint32_t slots,
+                          instant measuredAt);
 
     /// @returns a replica with a free slot for this class, or null. The pointer is valid until the next call of
     /// setUpstreams().
--- a/src/evidence.cpp
+++ b/src/evidence.cpp
@@ -128,7 +128,7 @@
     return deltas;
 }
 
-double evidence_table::failureRate(std::string_view version, std::string_view stratum) const
+double evidence_table::estimatedFailureRate(std::string_view version, std::string_view stratum) const
 {
     const auto *entry = find(keyOf(version, stratum));
     const auto failed = entry != nullptr ? entry->recentFailed : 0;
@@ -151,7 +151,7 @@
     if (usesOwnHistory && entry.recentPassed + entry.recentFailed < kMinOwnHistory)
         return 0;
     const auto own = entry.recentFailed / std::max(1.0, entry.recentPassed + entry.recentFailed);
-    const auto rate = usesOwnHistory ? own : failureRate(reference, stratum);
+    const auto rate = usesOwnHistory ? own : estimatedFailureRate(reference, stratum);
     const auto good = std::clamp(rate, kMinGoodRate, kMaxGoodRate);
     const auto bad = badRate(good);
     return static_cast<double>(results.failed) * std::log(bad / good)
--- a/src/evidence_p.h
+++ b/src/evidence_p.h
@@ -60,7 +60,7 @@
 
     /// @returns failure rate of a version in a stratum over about the last kRateWindow responses, weighted with the
     /// prior.
-    [[nodiscard]] double failureRate(std::string_view version, std::string_view stratum = {}) const;
+    [[nodiscard]] double estimatedFailureRate(std::string_view version, std::string_view stratum = {}) const;
 
     /// @returns log likelihood ratio of the version being bad, as of the last isRejected().
     [[nodiscard]] double score(std::string_view version) const;
--- a/src/freshness.cpp
+++ b/src/freshness.cpp
@@ -44,7 +44,7 @@
     m_highestKnown = std::max(m_highestKnown, generation);
 }
 
-void freshness::stamp(const freshness_stamp &stamp)
+void freshness::applyStamp(const freshness_stamp &stamp)
 {
     recordGeneration(stamp.generation);
     const bool isNewer = stamp.generation > m_stamp.generation
@@ -55,7 +55,7 @@
 
 void freshness::recordStoreRead(generation_number generation, instant readStarted)
 {
-    stamp({generation, readStarted});
+    applyStamp({generation, readStarted});
     if (m_generation >= generation)
         m_recovering = false;
 }
--- a/src/freshness_p.h
+++ b/src/freshness_p.h
@@ -36,7 +36,7 @@
     void recordGeneration(generation_number generation);
 
     /// Applies a stamp from the parent, the store or a quorum; one that is not newer than the last is ignored.
-    void stamp(const freshness_stamp &stamp);
+    void applyStamp(const freshness_stamp &stamp);
 
     /// Records a read of the store that began at `readStarted` and returned this generation. Ends the recovering state
     /// if the generation has been adopted.
--- a/src/gateway_exchange_responses.cpp
+++ b/src/gateway_exchange_responses.cpp
@@ -215,9 +215,9 @@
     outcome.result = result;
     outcome.mayRetry = m_route->mayRetry();
     outcome.mayHaveRun = m_mayHaveRun;
-    outcome.hasCallerBytes = m_hasStreamStarted;
+    outcome.hasResponseStarted = m_hasStreamStarted;
     outcome.maxSends = m_route->maxAttempts;
-    outcome.left = remainingTime();
+    outcome.remaining = remainingTime();
     if (result == attempt_result::not_connected && ++m_connectFailures <= kMaxConnectFailures)
         --m_sends; // no replica has received the request
     outcome.sends = m_sends;
--- a/src/load_aggregator.cpp
+++ b/src/load_aggregator.cpp
@@ -4,7 +4,7 @@
 namespace foxtaildyke
 {
 
-void load_aggregator::set(const std::string &host, std::vector<replica_load> loads, instant now)
+void load_aggregator::recordReport(const std::string &host, std::vector<replica_load> loads, instant now)
 {
     m_reports.insert_or_assign(host, report{std::move(loads), now});
 }
--- a/src/load_aggregator_p.h
+++ b/src/load_aggregator_p.h
@@ -11,7 +11,7 @@
 {
 public:
     /// Replaces a host's outstanding requests at the replicas.
-    void set(const std::string &host, std::vector<replica_load> loads, instant now);
+    void recordReport(const std::string &host, std::vector<replica_load> loads, instant now);
 
     /// @returns the sums over all hosts whose report has not expired, by replica.
     [[nodiscard]] std::vector<replica_load> totals(instant now);
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -325,7 +325,7 @@
     if (!response.stampAge)
         return;
     // The parent can't have received the call before it was sent, so this bound never overestimates the freshness.
-    m_fresh.stamp({response.generation, sent.sentAt + response.waitTime - *response.stampAge});
+    m_fresh.applyStamp({response.generation, sent.sentAt + response.waitTime - *response.stampAge});
 }
 
 void relay::applyAcknowledged(const exchange_response &response)
--- a/src/relay_children.cpp
+++ b/src/relay_children.cpp
@@ -173,7 +173,7 @@
     if (m_selfIndex && m_fresh.mayAcknowledge())
         m_acknowledgedAt[*m_selfIndex] = now;
     if (const auto stamp = m_fresh.quorumStamp(m_acknowledgedAt))
-        m_fresh.stamp(*stamp);
+        m_fresh.applyStamp(*stamp);
     updateAcknowledged(now);
 }
 
--- a/src/relay_task.cpp
+++ b/src/relay_task.cpp
@@ -166,7 +166,7 @@
         return reportRejected(document.error().field);
     const auto generation = document.value().generation;
     // The stamp must precede the adoption, so that children receive it together with the generation.
-    m_freshness.stamp({generation, startedAt});
+    m_freshness.applyStamp({generation, startedAt});
     if (generation > m_freshness.generation())
         adopt({{}, object.value().body}, "store read");
     m_freshness.recordStoreRead(generation, startedAt);
--- a/src/router_core.cpp
+++ b/src/router_core.cpp
@@ -126,7 +126,7 @@
 
 void router_core::implementation::on(const load_report &input)
 {
-    m_balancer.report(input.upstream, input.running, input.queued, input.slots, input.measuredAt);
+    m_balancer.recordLoadReport(input.upstream, input.running, input.queued, input.slots, input.measuredAt);
     dispatchQueued();
 }
 
--- a/tests/freshness_sim.cpp
+++ b/tests/freshness_sim.cpp
@@ -164,7 +164,7 @@
     const auto &peer = m_hosts[response.from].name;
     host.echo[peer] = response.clock;
     if (response.stamp)
-        host.state->stamp({response.stamp->generation, response.sentAt - response.stamp->currentAt});
+        host.state->applyStamp({response.stamp->generation, response.sentAt - response.stamp->currentAt});
     const bool wasRecovering = host.state->isRecovering();
     if (host.state->recordRecoverResponse(peer, response.recovering, response.generation, response.sentAt)
         && wasRecovering)
@@ -184,7 +184,7 @@
     if (!stamp)
         return;
     const bool hadLease = host.state->mayDispatch(clockOf(host));
-    host.state->stamp(*stamp);
+    host.state->applyStamp(*stamp);
     m_quorumLeases += !hadLease && host.state->mayDispatch(clockOf(host)) ? 1 : 0;
 }
 
--- a/tests/relay_bus.cpp
+++ b/tests/relay_bus.cpp
@@ -166,7 +166,7 @@
     schedule(m_now + latency(), [this, host, incarnation, started, generation = m_generation] {
         if (!m_hosts[host] || m_incarnations[host] != incarnation)
             return;
-        m_hosts[host]->fresh.stamp({generation, started});
+        m_hosts[host]->fresh.applyStamp({generation, started});
         adopt(host, {{}, makePayload(generation, 0)});
         m_hosts[host]->fresh.recordStoreRead(generation, started);
         m_hosts[host]->tree->tick(clockOf(host));
--- a/tests/test_balancer.cpp
+++ b/tests/test_balancer.cpp
@@ -56,13 +56,13 @@
     choice.setUpstreams(replicas(1, 4));
     for (int i = 0; i < 3; ++i)
         choice.recordStart("r0");
-    choice.report("r0", 3, 0, 4, 1s);
+    choice.recordLoadReport("r0", 3, 0, 4, 1s);
     CHECK(pickName(choice, {.service = "pool", .version = "v1", .priority = request_class::interactive}, 1s) == "r0");
-    choice.report("r0", 9, 0, 4, 2s);
+    choice.recordLoadReport("r0", 9, 0, 4, 2s);
     const pick_request lookup{.service = "pool", .version = "v1", .priority = request_class::interactive};
     CHECK(pickName(choice, lookup, 2s).empty());
     CHECK(pickName(choice, lookup, 20s) == "r0");
-    choice.report("r0", 9, 0, 4, 1s);
+    choice.recordLoadReport("r0", 9, 0, 4, 1s);
     CHECK(pickName(choice, lookup, 20s) == "r0");
 }
 
@@ -156,7 +156,7 @@
     balancer choice("a", 1);
     choice.setUpstreams(replicas(4, 5));
     for (const auto *name : {"r0", "r1", "r2", "r3"})
-        choice.report(name, 2, 0, 5, 1s);
+        choice.recordLoadReport(name, 2, 0, 5, 1s);
     const pick_request draft{
         .service = "pool", .version = "v1", .priority = request_class::batch, .exclude = {}, .hosts = 4};
     const auto startAttempts = [&](instant now) {
--- a/tests/test_evidence.cpp
+++ b/tests/test_evidence.cpp
@@ -93,7 +93,7 @@
     rating_source source{std::mt19937_64{13}};
     auto table = withBaseline(source, 0.25);
     CHECK(responsesUntilRejected(table, config, source, 0.25, 300) == 300);
-    CHECK(table.failureRate("swift-1") == doctest::Approx(0.25).epsilon(0.2));
+    CHECK(table.estimatedFailureRate("swift-1") == doctest::Approx(0.25).epsilon(0.2));
 }
 
 TEST_CASE("evidence compares failure rates within one stratum")
--- a/tests/test_freshness.cpp
+++ b/tests/test_freshness.cpp
@@ -29,7 +29,7 @@
     CHECK_FALSE(state.adopt(4, kHosts, kLease));
     CHECK_FALSE(state.adopt(5, kHosts, kLease));
     CHECK(state.generation() == 5);
-    state.stamp({4, 20s});
+    state.applyStamp({4, 20s});
     CHECK(state.leaseEnd() == 14s);
 }
 
@@ -46,7 +46,7 @@
     REQUIRE(state.adopt(6, kHosts, kLease));
     CHECK_FALSE(state.mayDispatch(10s));
     CHECK(state.leaseEnd() == instant{});
-    state.stamp({6, 11s});
+    state.applyStamp({6, 11s});
     CHECK(state.mayDispatch(14s));
 }
 
@@ -84,7 +84,7 @@
 {
     freshness state("a", 0s);
     state.adopt(5, kHosts, kLease);
-    state.stamp({5, 10s});
+    state.applyStamp({5, 10s});
     CHECK_FALSE(state.mayAcknowledge());
     CHECK_FALSE(state.mayDispatch(10s));
     state.recordStoreRead(5, 10s);
--- a/tests/test_gateway_decisions.cpp
+++ b/tests/test_gateway_decisions.cpp
@@ -47,7 +47,7 @@
     outcome.mayHaveRun = mayHaveRun;
     outcome.sends = 1;
     outcome.maxSends = 3;
-    outcome.left = 1s;
+    outcome.remaining = 1s;
     return outcome;
 }
 
@@ -81,13 +81,13 @@
     CHECK(nextStepAfter(last) == next_step::fail);
 
     auto begun = makeOutcome(result::broken, true, true);
-    begun.hasCallerBytes = true;
+    begun.hasResponseStarted = true;
     CHECK(nextStepAfter(begun) == next_step::retry);
     begun.sends = begun.maxSends;
     CHECK(nextStepAfter(begun) == next_step::cut_off);
 
     auto late = makeOutcome(result::broken, true, true);
-    late.left = 5ms;
+    late.remaining = 5ms;
     CHECK(nextStepAfter(late) == next_step::fail);
 }
 
@@ -335,8 +335,8 @@
 TEST_CASE("load aggregator: sums of the reporting hosts, and an estimate for the hosts of other relays")
 {
     load_aggregator aggregator;
-    aggregator.set("a", {{"r1", 2, 30}}, 1s);
-    aggregator.set("b", {{"r1", 1, 10}, {"r2", 4, 0}}, 1s);
+    aggregator.recordReport("a", {{"r1", 2, 30}}, 1s);
+    aggregator.recordReport("b", {{"r1", 1, 10}, {"r2", 4, 0}}, 1s);
     const auto totals = aggregator.totals(1s);
     REQUIRE(totals.size() == 2);
     CHECK(totals[0].running == 3);
@@ -345,7 +345,7 @@
     CHECK(others[0].running == 7);
     CHECK(others[0].backlogMs == 90);
     CHECK(others[1].running == 12);
-    aggregator.set("b", {}, 2s);
+    aggregator.recordReport("b", {}, 2s);
     CHECK(aggregator.totals(2s + load_aggregator::kReportLifetime - 1ms).empty()); // the report of "a" has expired
 }
 
