--- a/src/admin_api.cpp
+++ b/src/admin_api.cpp
@@ -25,7 +25,7 @@
 }
 
 /// @returns the number at the beginning of a query parameter, or 0 if there is none.
-std::uint64_t parseNumber(const std::map<std::string, std::string> &query, const std::string &name)
+std::uint64_t leadingNumber(const std::map<std::string, std::string> &query, const std::string &name)
 {
     const auto found = query.find(name);
     std::uint64_t value = 0;
@@ -320,8 +320,8 @@
 /// Handles GET /v1/acceptance?generation=N&wait_ms=N: responds when the generation is accepted or the wait is over.
 void admin_api::awaitAcceptance(const call &open)
 {
-    const auto wait = clampWait(parseNumber(open.request->query, "wait_ms"));
-    const auto generation = parseNumber(open.request->query, "generation");
+    const auto wait = clampWait(leadingNumber(open.request->query, "wait_ms"));
+    const auto generation = leadingNumber(open.request->query, "generation");
     m_control.read([this, wait, generation, done = open.done](const result<config_document> &current) {
         const bool isKnown = generation <= m_control.document().generation;
         if (!isKnown && current.has_error())
--- a/src/admin_api_p.h
+++ b/src/admin_api_p.h
@@ -61,7 +61,7 @@
     /// Responds to waiting requests whose generation has been accepted or whose wait has timed out.
     void tick(instant now, std::int64_t unixMs);
 
-    [[nodiscard]] std::size_t waiting() const { return m_waiting.size(); }
+    [[nodiscard]] std::size_t waitingRequests() const { return m_waiting.size(); }
 
 private:
     struct route;
--- a/src/caller_protocol.cpp
+++ b/src/caller_protocol.cpp
@@ -14,7 +14,7 @@
 using nlohmann::ordered_json;
 
 constexpr std::string_view kBearer = "Bearer ";
-constexpr std::int64_t kDeadlineLimitMs = 24LL * 3600 * 1000;
+constexpr std::int64_t kMaxTimeoutMs = 24LL * 3600 * 1000;
 
 struct status_entry {
     reason_code reason;
@@ -91,13 +91,13 @@
     return nullptr;
 }
 
-bool readDeadline(const std::string &text, std::optional<std::chrono::milliseconds> &target)
+bool readTimeout(const std::string &text, std::optional<std::chrono::milliseconds> &target)
 {
     if (text.empty())
         return true;
     std::int64_t value = 0;
     const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (read.ec != std::errc{} || read.ptr != text.data() + text.size() || value <= 0 || value > kDeadlineLimitMs)
+    if (read.ec != std::errc{} || read.ptr != text.data() + text.size() || value <= 0 || value > kMaxTimeoutMs)
         return false;
     target = std::chrono::milliseconds(value);
     return true;
@@ -139,7 +139,7 @@
     request.requestId = headers.requestId;
     request.sessionId = headers.sessionId;
     request.sessionToken = headers.sessionToken;
-    if (!readDeadline(headers.deadlineMs, request.timeout))
+    if (!readTimeout(headers.deadlineMs, request.timeout))
         return caller_refusal{reason_code::malformed_body, "Foxtaildyke-Deadline-Ms"};
     if (const char *field = readBody(json::parse(body, nullptr, false), request))
         return caller_refusal{reason_code::malformed_body, field};
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -22,8 +22,8 @@
 
 } // namespace
 
-std::vector<config_edit> host_registration::next(const router_config &config, const std::vector<listed_entry> &listed,
-                                                 instant now)
+std::vector<config_edit> host_registration::nextEdits(const router_config &config,
+                                                      const std::vector<listed_entry> &listed, instant now)
 {
     const auto isListed = [&](const std::string &name) {
         return std::ranges::any_of(listed, [&](const listed_entry &entry) { return entry.host.name == name; });
@@ -211,7 +211,7 @@
 {
     if (!m_config.hosts.empty() && !m_acceptance.hasMajority(m_document.generation))
         return;
-    auto edits = m_registration.next(m_config, m_entries, m_now);
+    auto edits = m_registration.nextEdits(m_config, m_entries, m_now);
     if (edits.empty())
         return;
     emit({edits.front().value ? "host_registered" : "host_removed",
--- a/src/controller_p.h
+++ b/src/controller_p.h
@@ -52,8 +52,8 @@
     static constexpr std::chrono::milliseconds kRemoveAfter{10000};
 
     /// @returns the edits that remove or add one host, or none.
-    [[nodiscard]] std::vector<config_edit> next(const router_config &config, const std::vector<listed_entry> &listed,
-                                                instant now);
+    [[nodiscard]] std::vector<config_edit> nextEdits(const router_config &config,
+                                                     const std::vector<listed_entry> &listed, instant now);
 
 private:
     std::map<std::string, instant> m_missingSince; ///< registered hosts that are missing from the list
--- a/src/decision_log_p.h
+++ b/src/decision_log_p.h
@@ -32,7 +32,7 @@
                log_subject subject = log_subject::process);
 
     /// @returns the number of lines that the rate limit has dropped since the start.
-    [[nodiscard]] std::uint64_t dropped() const { return m_droppedTotal; }
+    [[nodiscard]] std::uint64_t droppedLines() const { return m_droppedTotal; }
 
 private:
     [[nodiscard]] bool tryConsumeToken(instant now, log_subject subject);
--- a/src/http_parser_p.h
+++ b/src/http_parser_p.h
@@ -63,7 +63,7 @@
     [[nodiscard]] bool hasBegun() const { return !m_headBytes.empty() || m_state != parse_state::head; }
 
     /// @returns whether the body is delimited by the end of the connection.
-    [[nodiscard]] bool endsWithConnection() const { return m_untilClose; }
+    [[nodiscard]] bool isDelimitedByClose() const { return m_untilClose; }
 
 private:
     std::size_t consumeHead(std::string_view bytes);
--- a/src/ledger.cpp
+++ b/src/ledger.cpp
@@ -602,7 +602,7 @@
     return m_impl->m_index.size();
 }
 
-std::size_t ledger_segment::waiting() const
+std::size_t ledger_segment::pendingRecords() const
 {
     return m_impl->m_queue.size() + m_impl->m_batch.size();
 }
--- a/src/ledger_p.h
+++ b/src/ledger_p.h
@@ -107,7 +107,7 @@
     [[nodiscard]] std::size_t entries() const;
 
     /// @returns number of queued and in-flight records.
-    [[nodiscard]] std::size_t waiting() const;
+    [[nodiscard]] std::size_t pendingRecords() const;
 
 private:
     struct implementation;
--- a/src/ledger_service.cpp
+++ b/src/ledger_service.cpp
@@ -260,7 +260,7 @@
         m_impl->m_router.configure(*config);
 }
 
-void ledger_service::setGone(std::set<std::string> hosts)
+void ledger_service::setNotLiveHosts(std::set<std::string> hosts)
 {
     m_impl->m_router.hosts().setGone(std::move(hosts));
 }
@@ -378,7 +378,7 @@
         std::ranges::count_if(m_impl->m_bills, [](const auto &entry) { return entry.second.holder.empty(); }));
 }
 
-std::size_t ledger_service::keptCopies() const
+std::size_t ledger_service::storedCopies() const
 {
     return m_impl->m_copies.size();
 }
--- a/src/ledger_service_p.h
+++ b/src/ledger_service_p.h
@@ -57,7 +57,7 @@
     void configure(const router_config_ptr &config);
 
     /// Sets the hosts that are not live; replaces the previous set.
-    void setGone(std::set<std::string> hosts);
+    void setNotLiveHosts(std::set<std::string> hosts);
 
     void claim(const write_claim &request, append_done done);
     void bill(const write_bill &request, append_done done);
@@ -81,7 +81,7 @@
     /// @returns number of unwritten bills without a copy on another host, which would be lost with this host.
     [[nodiscard]] std::size_t uncopiedBills() const;
     /// @returns number of stored copies of other hosts' bills.
-    [[nodiscard]] std::size_t keptCopies() const;
+    [[nodiscard]] std::size_t storedCopies() const;
     /// @returns number of pins created in memory during a store outage.
     [[nodiscard]] std::size_t memoryPins() const;
     /// @returns number of index entries over all segments in memory.
--- a/src/relay_ledger.cpp
+++ b/src/relay_ledger.cpp
@@ -149,7 +149,7 @@
         if (listed == m_listedHosts.end() || listed->info.state != host_state::live)
             notLive.insert(host.name);
     }
-    m_service.setGone(std::move(notLive));
+    m_service.setNotLiveHosts(std::move(notLive));
 }
 
 void relay_ledger::append(const std::string &host, std::uint32_t segment, std::string batch, append_batch_done done)
--- a/src/upstream_exchange.cpp
+++ b/src/upstream_exchange.cpp
@@ -183,7 +183,7 @@
     const auto &head = m_parser.head();
     // A connection is not reusable while its request is still being written, because the next request would follow an
     // incomplete one, or if bytes were received after the response.
-    const bool isReusable = end == upstream_end::complete && head.keepAlive && !m_parser.endsWithConnection()
+    const bool isReusable = end == upstream_end::complete && head.keepAlive && !m_parser.isDelimitedByClose()
         && socket->pendingBytes() == 0 && socket->received().empty();
     if (isReusable)
         m_pool.release(m_request.replica, m_request.address, std::move(socket),
--- a/tests/test_admin_api.cpp
+++ b/tests/test_admin_api.cpp
@@ -146,7 +146,7 @@
     REQUIRE(test.lastResponse().has_value());
     CHECK(test.lastResponse()->status == 202);
     CHECK(json::parse(test.lastResponse()->body)["unacknowledged_hosts"] == json{"h2", "h3"});
-    CHECK(test.api.waiting() == 0);
+    CHECK(test.api.waitingRequests() == 0);
 }
 
 TEST_CASE("changes record author and time and are reported as events")
--- a/tests/test_controller.cpp
+++ b/tests/test_controller.cpp
@@ -334,14 +334,14 @@
 {
     host_registration registration;
     const auto config = buildRouterConfig(controlLayers(3), 1, "").value();
-    CHECK(registration.next(config, {}, milliseconds(0)).empty());
-    CHECK(registration.next(config, {}, milliseconds(60000)).empty());
+    CHECK(registration.nextEdits(config, {}, milliseconds(0)).empty());
+    CHECK(registration.nextEdits(config, {}, milliseconds(60000)).empty());
     const auto two = entriesOf(hostNames(1, 2));
-    CHECK(registration.next(config, two, milliseconds(70000)).empty());
-    CHECK(registration.next(config, entriesOf(hostNames(1, 3)), milliseconds(75000)).empty());
-    CHECK(registration.next(config, two, milliseconds(80000)).empty());
-    CHECK(registration.next(config, two, milliseconds(89999)).empty());
-    const auto edits = registration.next(config, two, milliseconds(90000));
+    CHECK(registration.nextEdits(config, two, milliseconds(70000)).empty());
+    CHECK(registration.nextEdits(config, entriesOf(hostNames(1, 3)), milliseconds(75000)).empty());
+    CHECK(registration.nextEdits(config, two, milliseconds(80000)).empty());
+    CHECK(registration.nextEdits(config, two, milliseconds(89999)).empty());
+    const auto edits = registration.nextEdits(config, two, milliseconds(90000));
     REQUIRE(edits.size() == 1);
     CHECK(edits.front().section == "host h3");
     CHECK_FALSE(edits.front().value.has_value());
--- a/tests/test_http_parser.cpp
+++ b/tests/test_http_parser.cpp
@@ -71,7 +71,7 @@
     const auto result = parse(parser, "HTTP/1.1 200 OK\r\nA: b\r\n\r\nall that comes", 7);
     CHECK(result.state == parse_state::body);
     CHECK(result.body == "all that comes");
-    CHECK(parser.endsWithConnection());
+    CHECK(parser.isDelimitedByClose());
     CHECK(parser.finishAtClose());
     http_parser sized(message_type::response);
     (void)parse(sized, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\ncut", 7);
--- a/tests/test_ledger_segment.cpp
+++ b/tests/test_ledger_segment.cpp
@@ -163,7 +163,7 @@
     {
         for (const auto &host : m_hosts) {
             if (host->segment().isLoaded())
-                RC_ASSERT(host->segment().waiting() == 0U);
+                RC_ASSERT(host->segment().pendingRecords() == 0U);
         }
     }
 
--- a/tests/test_ledger_service.cpp
+++ b/tests/test_ledger_service.cpp
@@ -198,7 +198,7 @@
     {
         host(number).process.kill();
         for (auto &[name, other] : hosts)
-            other->service.setGone({"host" + std::to_string(number)});
+            other->service.setNotLiveHosts({"host" + std::to_string(number)});
     }
 
     simulation sim;
@@ -282,7 +282,7 @@
     for (const auto &[name, host] : cluster.hosts) {
         if (host->process.isAlive()) {
             RC_ASSERT(host->service.unwrittenBills() == 0U);
-            RC_ASSERT(host->service.keptCopies() == 0U);
+            RC_ASSERT(host->service.storedCopies() == 0U);
         }
     }
 }
@@ -308,13 +308,13 @@
     REQUIRE(claim->outcome.has_value());
     CHECK(claim->outcome->status == ledger_status::unavailable);
     CHECK(cluster.host(0).service.uncopiedBills() == 0);
-    CHECK(cluster.host(2).service.keptCopies() == 0); // host2 is in the failure domain of host0
-    CHECK(cluster.host(1).service.keptCopies() + cluster.host(3).service.keptCopies() == 1);
+    CHECK(cluster.host(2).service.storedCopies() == 0); // host2 is in the failure domain of host0
+    CHECK(cluster.host(1).service.storedCopies() + cluster.host(3).service.storedCopies() == 1);
     cluster.killHost(0);
     cluster.store.isDown = false;
     cluster.sim.runUntil(1s);
     CHECK(cluster.log().contains("bill b"));
-    CHECK(cluster.host(1).service.keptCopies() + cluster.host(3).service.keptCopies() == 0);
+    CHECK(cluster.host(1).service.storedCopies() + cluster.host(3).service.storedCopies() == 0);
 }
 
 TEST_CASE(
@@ -325,14 +325,14 @@
     cluster.store.isDown = true;
     const auto bill = cluster.send(0, record_type::bill, "b");
     cluster.sim.runUntil(200ms);
-    const std::size_t holder = cluster.host(1).service.keptCopies() == 1 ? 1 : 3;
+    const std::size_t holder = cluster.host(1).service.storedCopies() == 1 ? 1 : 3;
     cluster.killHost(holder);
     cluster.sim.runUntil(400ms);
-    CHECK(cluster.host(4 - holder).service.keptCopies() == 1);
+    CHECK(cluster.host(4 - holder).service.storedCopies() == 1);
     cluster.store.isDown = false;
     cluster.sim.runUntil(600ms);
     CHECK(cluster.host(0).service.unwrittenBills() == 0);
-    CHECK(cluster.host(4 - holder).service.keptCopies() == 0);
+    CHECK(cluster.host(4 - holder).service.storedCopies() == 0);
 }
 
 TEST_CASE("an owner that has loaded the log creates pins during an outage and writes them afterwards")
