--- a/tools/load_callers.cpp
+++ b/tools/load_callers.cpp
@@ -55,7 +55,7 @@
         const auto name = m_workload.name + "." + std::to_string(++m_sessions);
         const auto group = static_cast<std::uint32_t>(randomBelow(std::max(1U, m_workload.prefixGroups)));
         for (std::uint32_t i = 0; i < std::max(1U, m_workload.sessionLength); ++i) {
-            requests.push_back({.at = fromSeconds(at),
+            requests.push_back({.arrivesAt = fromSeconds(at),
                                 .workload = m_index,
                                 .account = account,
                                 .requestId = std::to_string(m_unixSeconds + static_cast<std::int64_t>(at)) + "-" + name
@@ -63,7 +63,7 @@
                                 .sessionId = m_workload.sessionLength > 1 ? name : std::string{},
                                 .prefixGroup = group,
                                 .difficulty = m_random(),
-                                .duplicate = randomBelow(1000) < m_workload.duplicatePermille});
+                                .isDuplicated = randomBelow(1000) < m_workload.duplicatePermille});
             at += randomInterval(1 / std::max(0.001, m_workload.thinkSeconds));
         }
     }
@@ -83,7 +83,7 @@
     std::vector<planned_request> requests;
     for (std::size_t index = 0; index < settings.workloads.size(); ++index)
         workload_planner(settings, index, seed, unixSeconds).plan(requests);
-    std::ranges::stable_sort(requests, {}, &planned_request::at);
+    std::ranges::stable_sort(requests, {}, &planned_request::arrivesAt);
     return requests;
 }
 
--- a/tools/load_callers.h
+++ b/tools/load_callers.h
@@ -8,14 +8,14 @@
 
 /// A scheduled request; it is sent regardless of the outcome of earlier requests.
 struct planned_request {
-    instant at{};
+    instant arrivesAt{};
     std::size_t workload = 0; ///< index into experiment::workloads
     std::string account;
     std::string requestId;
     std::string sessionId; ///< empty: none
     std::uint32_t prefixGroup = 0;
     std::uint64_t difficulty = 0; ///< random bits that decide which models meet the target
-    bool duplicate = false; ///< also sent to a second host at the same time
+    bool isDuplicated = false; ///< also sent to a second host at the same time
 };
 
 /// @param unixSeconds the callers' wall-clock time at the start, used in request ids.
--- a/tools/load_experiment.cpp
+++ b/tools/load_experiment.cpp
@@ -115,7 +115,7 @@
     reader.read("session_length", entry.sessionLength).read("think_s", entry.thinkSeconds);
     reader.read("prompt_tokens", entry.promptTokens).read("prefix_tokens", entry.prefixTokens);
     reader.read("prefix_groups", entry.prefixGroups).read("completion_tokens", entry.completionTokens);
-    reader.read("deadline_ms", entry.deadlineMs).read("resends", entry.resends);
+    reader.read("deadline_ms", entry.timeoutMs).read("resends", entry.maxRetries);
     reader.read("duplicate_permille", entry.duplicatePermille);
     target.workloads.push_back(entry);
     return reader.finish();
--- a/tools/load_experiment.h
+++ b/tools/load_experiment.h
@@ -25,8 +25,8 @@
     std::uint32_t prefixTokens = 0; ///< first part of the prompt that requests of a prefix group share
     std::uint32_t prefixGroups = 1; ///< number of distinct prefixes
     std::uint32_t completionTokens = 100;
-    std::uint32_t deadlineMs = 0; ///< 0: the kind's
-    std::uint32_t resends =
+    std::uint32_t timeoutMs = 0; ///< 0: the kind's
+    std::uint32_t maxRetries =
         0; ///< maximum retries by the caller after a refusal or failure, each delayed by Retry-After
     std::uint32_t duplicatePermille =
         0; ///< share of requests that a caller also sends to a second host at the same time
--- a/tools/load_http.cpp
+++ b/tools/load_http.cpp
@@ -36,7 +36,7 @@
     arm_report run()
     {
         for (std::size_t i = 0; i < m_requests.size(); ++i)
-            m_loop.after(m_requests[i].at, [this, i] { send(i); });
+            m_loop.after(m_requests[i].arrivesAt, [this, i] { send(i); });
         const instant last{static_cast<std::int64_t>(m_settings.durationSeconds * 1e6)};
         m_loop.after(last + kMaxDrainTime, [this] { m_loop.stop(); });
         if (!m_requests.empty())
@@ -69,14 +69,14 @@
         if (state.submitCount == 0)
             state.firstSentAt = event_loop::now();
         sendTo(index, router);
-        if (m_requests[index].duplicate && state.submitCount == 1)
+        if (m_requests[index].isDuplicated && state.submitCount == 1)
             sendTo(index, (router + 1) % m_routers.size());
     }
 
     [[nodiscard]] milliseconds timeoutOf(const workload &source) const
     {
-        if (source.deadlineMs > 0)
-            return milliseconds{source.deadlineMs};
+        if (source.timeoutMs > 0)
+            return milliseconds{source.timeoutMs};
         return m_settings.config[m_settings.config.kindByName(source.kind)].maxTimeout;
     }
 
@@ -155,7 +155,7 @@
         const auto &kind = m_settings.config[m_settings.config.kindByName(source.kind)];
         const bool isSafe = state.outcome == outcome_kind::not_run
             || (state.outcome == outcome_kind::failed_after_run && kind.idempotent);
-        if (!isSafe || state.submitCount > source.resends)
+        if (!isSafe || state.submitCount > source.maxRetries)
             return false;
         const auto json = nlohmann::json::parse(response.body, nullptr, false);
         const milliseconds wait{json.is_object() ? json.value("retry_after_ms", std::int64_t{0}) : 0};
--- a/tools/load_simulation.cpp
+++ b/tools/load_simulation.cpp
@@ -70,7 +70,7 @@
         m_clock.at(at, [this, &event] { applyEvent(event); });
     }
     for (std::size_t i = 0; i < m_requests.size(); ++i)
-        m_clock.at(m_requests[i].at, [this, i] { send(i); });
+        m_clock.at(m_requests[i].arrivesAt, [this, i] { send(i); });
 }
 
 void simulation::scheduleReports()
@@ -172,7 +172,7 @@
     const auto &planned = m_requests[request];
     const auto first = hashOf(planned.requestId, m_seed + m_states[request].submitCount) % m_hosts.size();
     sendTo(request, first);
-    if (planned.duplicate && m_states[request].submitCount == 1)
+    if (planned.isDuplicated && m_states[request].submitCount == 1)
         sendTo(request, (first + 1) % m_hosts.size());
 }
 
@@ -193,8 +193,8 @@
                          .maxTokens = 0,
                          .unixSeconds = kStartUnixSeconds
                              + std::chrono::duration_cast<std::chrono::seconds>(m_clock.now()).count()};
-    if (source.deadlineMs > 0)
-        input.timeout = milliseconds{source.deadlineMs};
+    if (source.timeoutMs > 0)
+        input.timeout = milliseconds{source.timeoutMs};
     const auto token = m_sessionTokens.find(planned.sessionId);
     if (!planned.sessionId.empty() && token != m_sessionTokens.end())
         input.sessionToken = token->second;
@@ -236,12 +236,12 @@
     const auto kind = m_config->kindByName(source.kind);
     const bool isSafe = answer.outcome == outcome_kind::not_run
         || (answer.outcome == outcome_kind::failed_after_run && (*m_config)[kind].idempotent);
-    return isSafe && state.open == 0 && state.submitCount <= source.resends;
+    return isSafe && state.open == 0 && state.submitCount <= source.maxRetries;
 }
 
 bool simulation::isReported(std::size_t request) const
 {
-    return std::chrono::duration<double>(m_requests[request].at).count() >= m_settings.warmupSeconds;
+    return std::chrono::duration<double>(m_requests[request].arrivesAt).count() >= m_settings.warmupSeconds;
 }
 
 void simulation::countRequest(std::size_t request)
@@ -268,9 +268,9 @@
         ++row.reasons[std::string(nameOf(state.best->reason))];
         return;
     }
-    const auto latency = std::chrono::duration<double, std::milli>(state.endedAt - planned.at).count();
+    const auto latency = std::chrono::duration<double, std::milli>(state.endedAt - planned.arrivesAt).count();
     const auto timeout =
-        source.deadlineMs > 0 ? static_cast<double>(source.deadlineMs) : static_cast<double>(kind.maxTimeout.count());
+        source.timeoutMs > 0 ? static_cast<double>(source.timeoutMs) : static_cast<double>(kind.maxTimeout.count());
     row.latencyMs.push_back(latency);
     row.inTime += latency <= timeout ? 1 : 0;
     row.met += state.met ? 1 : 0;
--- a/tools/load_simulation_ports.cpp
+++ b/tools/load_simulation_ports.cpp
@@ -50,9 +50,9 @@
         .prefixTokens = source.prefixTokens,
         .completionTokens = std::min(source.completionTokens, action.maxTokens),
         .priority = action.priority,
-        .started = [this, request = m_submissions[index].request] { ++m_states[request].runs; },
-        .done = [this, key] { m_clock.after(kNetworkDelay, [this, key] { endAttempt(key, std::nullopt); }); },
-        .failed =
+        .onStarted = [this, request = m_submissions[index].request] { ++m_states[request].runs; },
+        .onDone = [this, key] { m_clock.after(kNetworkDelay, [this, key] { endAttempt(key, std::nullopt); }); },
+        .onFailed =
             [this, key](attempt_failure failure) {
                 m_clock.after(kNetworkDelay, [this, key, failure] { endAttempt(key, failure); });
             }};
--- a/tools/load_upstreams.cpp
+++ b/tools/load_upstreams.cpp
@@ -36,9 +36,9 @@
 void upstream::submit(upstream_job job)
 {
     if (!m_up)
-        return job.failed(attempt_failure::not_sent);
+        return job.onFailed(attempt_failure::not_sent);
     if (m_running.size() >= m_settings.slots && m_queue.size() >= m_settings.queueLimit)
-        return job.failed(attempt_failure::overloaded);
+        return job.onFailed(attempt_failure::overloaded);
     const auto position =
         std::ranges::find_if(m_queue, [&](const upstream_job &other) { return other.priority > job.priority; });
     m_queue.insert(position, std::move(job));
@@ -53,8 +53,8 @@
         const auto id = job.id;
         const auto run = ++m_runs;
         const auto duration = serviceTime(job);
-        if (job.started)
-            job.started();
+        if (job.onStarted)
+            job.onStarted();
         m_running.emplace(id, std::pair(run, std::move(job)));
         m_clock.after(duration, [this, id, run] { end(id, run); });
     }
@@ -91,7 +91,7 @@
     const auto job = std::move(found->second.second);
     m_running.erase(found);
     startNext();
-    job.done();
+    job.onDone();
 }
 
 void upstream::cancel(const std::string &id)
@@ -108,9 +108,9 @@
     auto running = std::exchange(m_running, {});
     auto queue = std::exchange(m_queue, {});
     for (auto &[id, entry] : running)
-        entry.second.failed(attempt_failure::connection_lost);
+        entry.second.onFailed(attempt_failure::connection_lost);
     for (auto &job : queue)
-        job.failed(attempt_failure::connection_lost);
+        job.onFailed(attempt_failure::connection_lost);
 }
 
 } // namespace foxtaildyke::load
--- a/tools/load_upstreams.h
+++ b/tools/load_upstreams.h
@@ -37,9 +37,9 @@
     std::uint32_t prefixTokens = 0;
     std::uint32_t completionTokens = 0;
     request_class priority = request_class::standard;
-    std::function<void()> started; ///< called when the job gets a slot
-    std::function<void()> done;
-    std::function<void(attempt_failure)> failed;
+    std::function<void()> onStarted; ///< called when the job gets a slot
+    std::function<void()> onDone;
+    std::function<void(attempt_failure)> onFailed;
 };
 
 class upstream
@@ -47,9 +47,9 @@
 public:
     upstream(virtual_clock &clock, upstream_info info, const pool &settings);
 
-    /// Starts or queues a job; calls job.failed at once if the upstream is down or slots and queue are full.
+    /// Starts or queues a job; calls job.onFailed at once if the upstream is down or slots and queue are full.
     void submit(upstream_job job);
-    /// Removes a queued or running job; neither job.done nor job.failed is called.
+    /// Removes a queued or running job; neither job.onDone nor job.onFailed is called.
     void cancel(const std::string &id);
     /// Fails all jobs; further ones are rejected as not sent until restart().
     void crash();
