--- a/src/router_config_p.h
+++ b/src/router_config_p.h
@@ -73,13 +73,14 @@
 };
 
 struct tuning {
+    /// Time for which a host may dispatch after its generation was known to be current.
     std::chrono::milliseconds freshnessLease{4000};
-    std::chrono::milliseconds exchangePeriod{500};
+    std::chrono::milliseconds exchangePeriod{500}; ///< maximum time between two exchanges with the relay parent
     std::chrono::seconds ledgerRetention{3600};
     std::uint32_t ledgerSegments = 16;
     std::uint32_t retryBudgetPercent = 10; ///< retries per 100 first attempts
     std::uint32_t interactiveReservePercent = 20; ///< slots of a pool that only interactive requests may use
-    std::chrono::seconds quarantineLifetime{600};
+    std::chrono::seconds quarantineLifetime{600}; ///< time for which a request that lost two upstreams is refused
     objective_weights weights;
     start_rule startRule = start_rule::least_loss; ///< set by experiments only; has no key in the settings
     std::string sessionKey; ///< HMAC key of session tokens
